--- a/tests/recovery_test.cpp
+++ b/tests/recovery_test.cpp
@@ -4,9 +4,9 @@
 #include <random>
 
 #include "policy/state.hpp"
-#include "recovery/belief.hpp"
-#include "recovery/hearsay.hpp"
 #include "recovery/learning.hpp"
+#include "recovery/peer_state_transfer.hpp"
+#include "recovery/snapshot_validity.hpp"
 
 namespace lockgw::recovery {
 namespace {
@@ -72,40 +72,54 @@
     EXPECT_EQ(elapsed(kThen, now), std::optional<Time>(90s));
     EXPECT_FALSE(elapsed(kThen, {3s, kThen.wall - 1s, 43})) << "from the future";
 }
+TEST(Elapsed, GoesByTheWallClockWhereTheStartOfTheMachineIsNotKnown) {
+    const Moment then{9s, kThen.wall, 0}, now{60s, kThen.wall + 2s, 0};
+    EXPECT_EQ(elapsed(then, now), std::optional<Time>(2s));
+}
+TEST(Until, GoesByTheSteadyClockWhileTheMachineRuns) {
+    Moment now = later(5s);
+    now.wall -= 1h;
+    EXPECT_EQ(until(later(20s), now), Time(15s));
+    EXPECT_EQ(until(later(2s), now), Time(-3s)) << "it is past";
+}
+TEST(Until, GoesByTheWallClockAfterTheMachineWasStartedAnew) {
+    EXPECT_EQ(until(kThen, {3s, kThen.wall - 7s, 43}), Time(7s));
+    EXPECT_EQ(until({9s, kThen.wall, 0}, {60s, kThen.wall - 7s, 0}), Time(7s));
+}
 
 // ---- ages ----
 
-TEST(Belief, EachKindHoldsForAsLongAsItIsWorthAnything) {
-    const auto now = [](Time by) { return believed(sample(), later(by)); };
-    const Beliefs soon = now(600ms);
+TEST(SnapshotValidity, EachKindHoldsForAsLongAsItIsWorthAnything) {
+    const auto now = [](Time by) { return valid_facts(sample(), later(by)); };
+    const ValidFacts soon = now(600ms);
     EXPECT_EQ(soon.age, std::optional<Time>(600ms));
     ASSERT_EQ(soon.facts.targets.size(), 2u);
     EXPECT_EQ(soon.facts.targets[0].outage->fell, Time(2600ms));
     EXPECT_EQ(soon.facts.targets[0].outage->next_trial, Time(-350ms)) << "it may be tried now";
     EXPECT_DOUBLE_EQ(soon.facts.destinations[0].limit.left, 0.3);
 
-    const Beliefs ten = now(10s);
+    const ValidFacts ten = now(10s);
     EXPECT_DOUBLE_EQ(ten.facts.destinations[0].limit.left, 0) << "nobody knows what is left by now";
     EXPECT_DOUBLE_EQ(ten.facts.destinations[0].limit.heard, 90);
     EXPECT_TRUE(ten.facts.targets[0].outage);
 
-    const Beliefs minutes = now(9min);
+    const ValidFacts minutes = now(9min);
     EXPECT_DOUBLE_EQ(minutes.facts.destinations[0].limit.heard, 90);
     EXPECT_DOUBLE_EQ(minutes.facts.destinations[0].limit.gain, 0);
     EXPECT_DOUBLE_EQ(minutes.facts.destinations[0].asked_per_s, 0);
     ASSERT_EQ(minutes.facts.targets.size(), 1u) << "the outage is forgotten, the limit of t-2 is not";
 
-    const Beliefs hour = now(1h);
+    const ValidFacts hour = now(1h);
     EXPECT_TRUE(hour.facts.targets.empty());
     ASSERT_EQ(hour.facts.destinations.size(), 1u);
     EXPECT_FALSE(hour.facts.destinations[0].limit.any());
     EXPECT_DOUBLE_EQ(hour.facts.destinations[0].usual_s, 0.03);
-    EXPECT_EQ(now(48h).believed, 0u);
+    EXPECT_EQ(now(48h).valid, 0u);
 }
-TEST(Belief, NothingFromTheFuture) {
-    const Beliefs none = believed(sample(), {1s, kThen.wall - 1h, 43});
+TEST(SnapshotValidity, NothingFromTheFuture) {
+    const ValidFacts none = valid_facts(sample(), {1s, kThen.wall - 1h, 43});
     EXPECT_FALSE(none.age);
-    EXPECT_EQ(none.believed, 0u);
+    EXPECT_EQ(none.valid, 0u);
     EXPECT_EQ(none.dropped, 3u);
     EXPECT_TRUE(none.facts.targets.empty() && none.facts.destinations.empty());
 }
@@ -195,7 +209,7 @@
 }
 const Said kOut{Said::What::Out, 77, {}}, kDown{Said::What::Down, 88, 2s};
 
-TEST(Hearsay, AnswersReadBackInSections) {
+TEST(PeerStateTransfer, AnswersReadBackInSections) {
     Answer many = says({}, true, 1500ms);
     for (std::uint64_t i = 0; i < 100; ++i) many.facts.push_back({Said::What::Down, i << 32 | i, 300ms});
     Answer read;
@@ -214,8 +228,8 @@
     EXPECT_EQ(question_of(bytes_of(Question{9}))->incarnation, 9u);
     EXPECT_FALSE(question_of("x"));
 }
-TEST(Hearsay, OneAloneIsBelievedOnlyWhereNobodyElseAnswers) {
-    Hearsay alone({1, 2, 3}, 2, 300ms);
+TEST(PeerStateTransfer, OneAloneIsBelievedOnlyWhereNobodyElseAnswers) {
+    PeerStateTransfer alone({1, 2, 3}, 2, 300ms);
     alone.heard(1, says({kOut, kDown}), 10ms);
     EXPECT_FALSE(alone.done(10ms));
     EXPECT_TRUE(alone.done(300ms));
@@ -227,54 +241,55 @@
     EXPECT_TRUE(alone.taken(300ms).out.contains(77)) << "two of three";
     EXPECT_FALSE(alone.taken(300ms).down.contains(88));
 }
-TEST(Hearsay, WhoHasOnlyJustStartedHasNoVoiceBesideOthers) {
-    Hearsay hearsay({1, 2, 3}, 2, 300ms);
-    hearsay.heard(1, says({kOut}, true), 0s);
-    hearsay.heard(2, says({kOut}, true), 0s);
-    EXPECT_FALSE(hearsay.done(10ms));
-    hearsay.heard(3, says({}), 0s);
-    EXPECT_FALSE(hearsay.taken(10ms).out.contains(77));
+TEST(PeerStateTransfer, WhoHasOnlyJustStartedHasNoVoiceBesideOthers) {
+    PeerStateTransfer peer_state({1, 2, 3}, 2, 300ms);
+    peer_state.heard(1, says({kOut}, true), 0s);
+    peer_state.heard(2, says({kOut}, true), 0s);
+    EXPECT_FALSE(peer_state.done(10ms));
+    peer_state.heard(3, says({}), 0s);
+    EXPECT_FALSE(peer_state.taken(10ms).out.contains(77));
 }
-TEST(Hearsay, OldNewsStrangersAndRepeatsCountForNothing) {
-    Hearsay hearsay({1, 2}, 2, 300ms);
-    hearsay.heard(1, says({{Said::What::Down, 88, 1h}}), 0s);
-    EXPECT_TRUE(hearsay.taken(0s).down.empty()) << "an hour stale";
-    hearsay.heard(9, says({kOut}), 0s);
-    EXPECT_TRUE(hearsay.taken(0s).out.empty()) << "it was not asked";
-    for (int i = 0; i < 10; ++i) hearsay.heard(1, says({kOut}), 0s);
-    hearsay.heard(2, says({}), 0s);
-    EXPECT_TRUE(hearsay.taken(0s).out.empty()) << "one voice, however often";
+TEST(PeerStateTransfer, OldNewsStrangersAndRepeatsCountForNothing) {
+    PeerStateTransfer peer_state({1, 2}, 2, 300ms);
+    peer_state.heard(1, says({{Said::What::Down, 88, 1h}}), 0s);
+    EXPECT_TRUE(peer_state.taken(0s).down.empty()) << "an hour stale";
+    peer_state.heard(9, says({kOut}), 0s);
+    EXPECT_TRUE(peer_state.taken(0s).out.empty()) << "it was not asked";
+    for (int i = 0; i < 10; ++i) peer_state.heard(1, says({kOut}), 0s);
+    peer_state.heard(2, says({}), 0s);
+    EXPECT_TRUE(peer_state.taken(0s).out.empty()) << "one voice, however often";
 }
 // Each newcomer asks three of a hundred: by so many questions each counts those that came back. One that says
 // far too much does not move the middle.
-TEST(Hearsay, HowManyCameBackIsTheMiddleOfWhatIsSaid) {
+TEST(PeerStateTransfer, HowManyCameBackIsTheMiddleOfWhatIsSaid) {
     EXPECT_EQ(back_of(2, 99, 3, 0), 66u);
     EXPECT_EQ(back_of(0, 99, 3, 12), 12u) << "seen by the watch";
     EXPECT_EQ(back_of(50, 99, 3, 0), 99u);
     EXPECT_EQ(back_of(1, 1, 3, 0), 1u) << "of two there is one to ask";
-    Hearsay hearsay({1, 2, 3}, 3, 300ms);
-    EXPECT_FALSE(hearsay.taken(0s).back);
-    hearsay.heard(1, says({{Said::What::Back, 60, {}}}, true), 0s);
-    hearsay.heard(2, says({{Said::What::Back, 70, {}}}), 0s);
-    hearsay.heard(3, says({{Said::What::Back, 1'000'000, {}}}), 0s);
-    EXPECT_EQ(hearsay.taken(0s).back, 70u);
-    EXPECT_TRUE(hearsay.taken(0s).out.empty());
+    PeerStateTransfer peer_state({1, 2, 3}, 3, 300ms);
+    EXPECT_FALSE(peer_state.taken(0s).back);
+    peer_state.heard(1, says({{Said::What::Back, 60, {}}}, true), 0s);
+    peer_state.heard(2, says({{Said::What::Back, 70, {}}}), 0s);
+    peer_state.heard(3, says({{Said::What::Back, 1'000'000, {}}}), 0s);
+    EXPECT_EQ(peer_state.taken(0s).back, 70u);
+    EXPECT_TRUE(peer_state.taken(0s).out.empty());
 }
-TEST(Hearsay, TenThousandFactsOfOnePeerAreBounded) {
-    Hearsay hearsay({1}, 1, 300ms);
-    for (std::uint64_t i = 0; i < 10'000; ++i) hearsay.heard(1, says({{Said::What::Down, i, 1s}}), 0s);
-    EXPECT_LE(hearsay.taken(0s).down.size(), kMostHeard);
+TEST(PeerStateTransfer, TenThousandFactsOfOnePeerAreBounded) {
+    PeerStateTransfer peer_state({1}, 1, 300ms);
+    for (std::uint64_t i = 0; i < 10'000; ++i) peer_state.heard(1, says({{Said::What::Down, i, 1s}}), 0s);
+    EXPECT_LE(peer_state.taken(0s).down.size(), kMostHeard);
 }
-TEST(Hearsay, AFolderThatLacksWhatPeersHeardIsOld) {
-    Hearsay hearsay({1, 2, 3}, 3, 300ms);
-    hearsay.heard(1, says({}, false, 800ms), 0s);
-    EXPECT_TRUE(Hearsay::folder_is_old(hearsay.taken(0s), 1h)) << "nobody else has answered";
-    hearsay.heard(3, says({}), 0s);
-    EXPECT_FALSE(Hearsay::folder_is_old(hearsay.taken(0s), 1h)) << "one alone may lie";
-    hearsay.heard(2, says({}, false, 900ms), 0s);
-    EXPECT_TRUE(Hearsay::folder_is_old(hearsay.taken(0s), 1h));
-    EXPECT_FALSE(Hearsay::folder_is_old(hearsay.taken(0s), 5s)) << "written as lately as it may be";
-    EXPECT_FALSE(Hearsay::folder_is_old(hearsay.taken(0s), std::nullopt)) << "an empty one";
+TEST(PeerStateTransfer, AFolderThatLacksWhatPeersHeardIsOld) {
+    PeerStateTransfer peer_state({1, 2, 3}, 3, 300ms);
+    peer_state.heard(1, says({}, false, 800ms), 0s);
+    EXPECT_TRUE(PeerStateTransfer::folder_is_old(peer_state.taken(0s), 1h)) << "nobody else has answered";
+    peer_state.heard(3, says({}), 0s);
+    EXPECT_FALSE(PeerStateTransfer::folder_is_old(peer_state.taken(0s), 1h)) << "one alone may lie";
+    peer_state.heard(2, says({}, false, 900ms), 0s);
+    EXPECT_TRUE(PeerStateTransfer::folder_is_old(peer_state.taken(0s), 1h));
+    EXPECT_FALSE(PeerStateTransfer::folder_is_old(peer_state.taken(0s), 5s))
+        << "written as lately as it may be";
+    EXPECT_FALSE(PeerStateTransfer::folder_is_old(peer_state.taken(0s), std::nullopt)) << "an empty one";
 }
 
 }  // namespace
--- a/tests/reference/logic_before.cpp
+++ b/tests/reference/logic_before.cpp
@@ -809,7 +809,10 @@
             gap = flat + (std::sqrt(1.0 + 2.0 * rise * due) - 1.0) / rise - since;
         }
         const bool answers = endpoint.health == Health::Returning && endpoint.last_good > endpoint.fell;
-        endpoint.cold_tag = from + (answers ? std::clamp(from_seconds(gap), kLeastGap, kTrialGap)
+        const double know = senders() * endpoint.knowing, all = rate * seconds(settings_.fall) * know;
+        const Time ahead = from_seconds(seconds(settings_.fall) * know / (all + 2.0 * std::sqrt(all) + 2.0));
+        const Time most = std::max(kTrialGap, ahead);
+        endpoint.cold_tag = from + (answers ? std::clamp(from_seconds(gap), kLeastGap, most)
                                             : std::max(paced(kTrialGap, kTrialTimes), from_seconds(gap)));
     }
 
--- a/tests/retune_test.cpp
+++ b/tests/retune_test.cpp
@@ -97,7 +97,7 @@
 Message message_of_class(MessageId id, std::shared_ptr<const ClassSettings> terms) {
     Message message;
     message.id = id, message.message_class = "notice", message.body = "B";
-    message.deadline = Wall(std::chrono::microseconds(1'000'000));
+    message.deadline.wall = std::chrono::microseconds(1'000'000);
     message.terms = std::move(terms);
     return message;
 }
--- a/tests/rude_test.cpp
+++ b/tests/rude_test.cpp
@@ -104,6 +104,128 @@
     }
 }
 
+// Slow writers: each byte comes by itself, with a client's whole batch in between.
+TEST_F(RudeTest, ReadsACommandThatComesByteByByte) {
+    node.start_ready();
+    Client slow = node.client(), usual = node.client();
+    const std::string bytes = command(
+        {"ENQUEUE", "0000000000000000", id, "c=safe,t=acme,d=30000,k=5c0f6e1a2b3d4c59,dest=7", "BODY"});
+    for (std::size_t i = 0; i + 1 < bytes.size(); ++i) {
+        slow.send(bytes.substr(i, 1));
+        if (i == bytes.size() / 2) expect_served(usual, "00000000000000aa");
+    }
+    slow.send(bytes.substr(bytes.size() - 1));
+    EXPECT_EQ(slow.line(), "+OK");
+    const Exchange call = target.next();
+    EXPECT_EQ(call.header("X-Call-Id"), id);
+    EXPECT_EQ(call.request.body(), "BODY");
+    call.answer(200);
+}
+
+// Unknown commands in the middle of a batch are answered in their place, and the rest is served.
+TEST_F(RudeTest, AnswersUnknownCommandsInTheMiddleOfABatch) {
+    node.start_ready();
+    Client client = node.client();
+    client.send(command({"PING"}) + command({"FLUSHALL"}) + command({"PING"}) + command({"", "x"}) +
+                command({"PING"}));
+    for (const char* answer : {"+PONG", "-ERR ", "+PONG", "-ERR ", "+PONG"})
+        EXPECT_EQ(client.line().substr(0, 5), answer);
+    expect_served(client, id);
+}
+
+// Ten thousand commands at once, and their sender is gone before it has read an answer, again and again:
+// nothing of it stays, and others are served meanwhile.
+TEST_F(RudeTest, LivesThroughFloodsWhoseSendersAreGone) {
+    constexpr int kFloods = 8, kCommands = 10'000;
+    constexpr std::size_t kMemory = 64u << 20;
+    node.start_ready();
+    Client usual = node.client();
+    expect_served(usual, id);
+    const auto descriptors = node.descriptors();
+    const auto memory = node.resident_bytes();
+    std::string flood;
+    for (int i = 0; i < kCommands; ++i) flood += command({"PING", "a text that is sent back to its sender"});
+    for (int i = 0; i < kFloods; ++i) {
+        Client client = node.client();
+        std::thread sender([&] {
+            try {
+                client.send(flood);
+            } catch (const boost::system::system_error&) {  // turned away meanwhile
+            }
+        });
+        expect_served(usual, "00000000000000b" + std::to_string(i));
+        sender.join();
+        client.reset();
+    }
+    const auto until = Clock::now() + kDeadline;
+    while (node.descriptors() > descriptors && Clock::now() < until) std::this_thread::sleep_for(10ms);
+    EXPECT_LE(node.descriptors(), descriptors);
+    EXPECT_LE(node.resident_bytes(), memory + kMemory);
+}
+
+/// Bodies of discovery's answers that are JSON, and no list or a strange one.
+class StrangeList : public RudeTest, public ::testing::WithParamInterface<const char*> {};
+
+// The list as known stays in force, the agent is asked again, and messages go on.
+TEST_P(StrangeList, ChangesNothingOfWhatIsKnown) {
+    node.start_ready();
+    const Exchange first = agent_request("/v1/servers");
+    const std::string body = GetParam();
+    first.write("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
+    const Exchange again = agent_request("/v1/servers");
+    Client client = node.client();
+    expect_served(client, id);
+    tell(again, list(5, true, {member("s-1", target.address(), 7)}));
+    EXPECT_EQ(std::string(agent_request("/v1/servers").request.target()).find("/v1/servers?from=5"), 0u);
+    expect_served(client, "00000000000000aa");
+}
+INSTANTIATE_TEST_SUITE_P(Rude, StrangeList,
+    ::testing::Values("[]", "null", "17", "\"list\"", "{}", R"({"revision":2})",
+        R"({"revision":"2","complete":true,"members":[]})", R"({"revision":2,"complete":1,"members":[]})",
+        R"({"revision":2,"complete":true,"members":{}})",
+        R"({"revision":-2,"complete":true,"members":"none"})",
+        R"({"revision":2e300,"complete":false,"members":null})"));
+
+// An entry that stands twice: the one that stops its target counts, for nothing may be sent where one says
+// so.
+TEST_F(RudeTest, AnEntryThatStandsTwiceInAListStopsItsTargetIfOneDoes) {
+    HttpStub other;
+    node.start_ready();
+    tell(agent_request("/v1/servers"),
+        list(2, true,
+            {member("s-1", target.address(), 7, "terminating"), member("s-1", target.address(), 7),
+                member("s-2", other.address(), 7)}));
+    agent_request("/v1/servers?from=2");
+    Client client = node.client();
+    for (const char* one : {"00000000000000a1", "00000000000000a2", "00000000000000a3"}) {
+        ASSERT_EQ(enqueue(client, one), "+OK");
+        other.next().answer(200);
+    }
+    EXPECT_TRUE(target.none_within(100ms));
+}
+
+// A list without end: it is given up, its memory is bounded, and messages go on meanwhile.
+TEST_F(RudeTest, BoundsAListWithoutEnd) {
+    constexpr std::size_t kChunk = 1 << 20, kChunks = 64, kMemory = 48u << 20;
+    node.config()["limits"]["memory_mb"] = 64;
+    node.start_ready();
+    Client client = node.client();
+    expect_served(client, id);
+    const auto memory = node.resident_bytes();
+    std::string endless = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+    for (std::size_t i = 0; i < kChunks; ++i) endless += "100000\r\n" + std::string(kChunk, ' ') + "\r\n";
+    agent_request("/v1/servers").write(endless);
+    std::size_t most = 0;
+    for (int i = 0; i < 8; ++i) {
+        expect_served(client, "00000000000000c" + std::to_string(i));
+        most = std::max(most, node.resident_bytes());
+    }
+    EXPECT_LE(most, memory + kMemory);
+    tell(agent_request("/v1/servers"), list(9, true, {member("s-1", target.address(), 7)}));
+    agent_request("/v1/servers?from=9");
+    expect_served(client, "00000000000000aa");
+}
+
 // Half commands of many clients, long ones, stay within a share of the memory.
 TEST_F(RudeTest, BoundsWhatUnendedCommandsHold) {
     node.config()["limits"]["memory_mb"] = 4;
--- a/tests/tier_test.cpp
+++ b/tests/tier_test.cpp
@@ -91,6 +91,27 @@
                                                                        << table_of({result});
     EXPECT_GE(result.returned.full_s, 0) << "seed " << one.seed << '\n' << table_of({result});
 }
+// A destination's process dies and is cold when it is back, six of 30 forwarders are killed shortly before
+// and after: what all of them together send it stays within what the settings allow, and it is served again.
+TEST(Tier, AReturningDestinationIsNotOverrun) {
+    constexpr double kBack = 12, kServed_s = 6, kEnd = 30;
+    Scenario one = scenario(30, 1, 1.2);
+    one.seconds = kEnd, one.heavy = 3, one.limit = 60;
+    one.faults = {{Fault::What::Die, kBack - 6, 6, 0, {0, 0}},
+        {Fault::What::Kill, kBack - 0.7, 0.6, 0, {0, 2}}, {Fault::What::Kill, kBack + 0.4, 0.6, 0, {3, 5}}};
+    const Result result = played(one);
+    EXPECT_GT(result.most_of_allowed, 0) << "seed " << one.seed;
+    EXPECT_LE(result.most_of_allowed, 1) << "seed " << one.seed << '\n' << table_of({result});
+    // It is served again long before it is warm: with the messages that came during the outage still queued,
+    // and a tenth of the forwarders above their part of the limit, 0.8 to 0.9 are in time from then on.
+    double served = 0, seconds = 0;
+    for (double second = kBack + kServed_s; second < kEnd - 2; ++second)
+        served += result.timely[static_cast<std::size_t>(second)], ++seconds;
+    EXPECT_GE(served / seconds, 0.7) << "seed " << one.seed << '\n' << table_of({result});
+    std::cout << "of the allowed " << result.most_of_allowed << ", in time from 6 s on " << served / seconds
+              << ", full service " << result.returned.full_s << " s after the last start, seed " << one.seed
+              << '\n';
+}
 // A target that answers errors at once draws no more than its part: an error is no sign of room.
 TEST(Tier, FastErrorsDrawNoLoad) {
     Scenario one = scenario(12, 4, 4);
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -19,10 +19,7 @@
         node.hold_listener();
         node.set_environment("NODE_CONSOLE", console = new_console());
     }
-    std::string new_console() const {
-        asio::io_context io;
-        return text_of(Tcp::acceptor(io, {node.address().address(), 0}).local_endpoint());
-    }
+    static std::string new_console() { return text_of(rig::free_endpoint()); }
     /// The status of a call; 0 where nobody answers.
     int call(const std::string& at, const std::string& verb, const std::string& path) const try {
         asio::io_context io;
--- a/tests/window_test.cpp
+++ b/tests/window_test.cpp
@@ -3,8 +3,11 @@
 #include <gtest/gtest.h>
 
 #include <map>
+#include <set>
 
+#include "core/clocks.hpp"
 #include "membership_fixture.hpp"
+#include "store/journal.hpp"
 
 namespace lockgw {
 namespace {
@@ -54,5 +57,56 @@
     EXPECT_EQ(targets.calls().size(), kTargets) << node.log();
 }
 
+/// What an earlier process left, written down while the wall clock stood an hour away from where it stands
+/// now.
+class ClockSetOverARestart : public WindowTest {
+protected:
+    using Span = std::chrono::microseconds;
+    /// So far from now on the clock that cannot be set, and on the one that was set meanwhile.
+    static Moment apart(Span steady, Span wall) {
+        Moment moment = moment_now();
+        moment.steady += steady;
+        moment.wall += wall;
+        return moment;
+    }
+    void leave(MessageId id, const char* kind, const Moment& deadline, const std::optional<Moment>& tried) {
+        std::filesystem::create_directories(node.state());
+        Journal journal(node.state(), 1 << 20);
+        Message message;
+        message.id = id, message.message_class = kind, message.tenant = "acme", message.destination = 7;
+        message.key = std::to_string(id), message.body = "BODY", message.deadline = deadline;
+        ASSERT_TRUE(journal.take_on(message));
+        const bool kept = !tried || journal.begin_attempt(id, "s-0", *tried);
+        ASSERT_TRUE(kept);
+    }
+    std::set<std::string> keys_called() const {
+        std::set<std::string> keys;
+        for (const auto& call : targets.calls()) keys.insert(call.key);
+        return keys;
+    }
+};
+
+TEST_F(ClockSetOverARestart, WindowAndDeadlineGoByTheClockThatCannotBeSet) {
+    const Moment later = apart(60s, 60s);
+    leave(1, "keyed", later, apart(-kWindow - 2s, 1h));  // set back: seems to have been tried in the future
+    leave(2, "keyed", later, apart(-1ms, -1h));          // set forward: seems to have been tried long ago
+    leave(3, "safe", apart(-1s, 1h), {});                // set back: seems to have time left
+    leave(4, "safe", apart(60s, -1h), {});               // set forward: seems to be out of time
+    start_with({member("s-0", 0)});
+    ASSERT_TRUE(targets.wait_calls(2, kDeadline)) << node.log();
+    ASSERT_TRUE(waits_for([&] { return directory.notices().size() >= 2; })) << node.log();
+    EXPECT_EQ(keys_called(), (std::set<std::string>{"2", "4"}));
+}
+
+// A machine that was started anew, and whose clock was set back: no clock tells how long ago the call was.
+TEST_F(ClockSetOverARestart, NothingIsRepeatedWhereNoClockCanTell) {
+    Moment other_boot = apart(-1ms, 1h);
+    ++other_boot.boot;
+    leave(1, "keyed", apart(60s, 60s), other_boot);
+    start_with({member("s-0", 0)});
+    ASSERT_TRUE(waits_for([&] { return !directory.notices().empty(); })) << node.log();
+    EXPECT_EQ(targets.calls().size(), 0u) << node.log();
+}
+
 }  // namespace
 }  // namespace lockgw
--- a/tests/work_ledger_test.cpp
+++ b/tests/work_ledger_test.cpp
@@ -20,8 +20,8 @@
     for (Machine i = 0; i < count; ++i) plan.machines.push_back({i, "", 0, {}, {}});
     return plan;
 }
-struct Desk {
-    explicit Desk(Plan given, std::size_t members) : plan(std::move(given)) {
+struct PlanFixture {
+    explicit PlanFixture(Plan given, std::size_t members) : plan(std::move(given)) {
         facts.members = members, facts.plan = &plan, facts.sure = true;
         facts.left = [](Machine) { return 100u; };
         Change change;
@@ -45,24 +45,24 @@
 };
 
 TEST(Ledger, LetsSoManyGoAtATimeAndEachOnce) {
-    Desk desk(plan_of_forwarders(5, 2), 5);
-    EXPECT_EQ(desk.does(What::Take, 0), "");
-    EXPECT_NE(desk.does(What::Take, 0), "") << "it is out";
-    EXPECT_EQ(desk.does(What::Take, 3), "");
-    EXPECT_NE(desk.does(What::Take, 4), "") << "two are out";
-    EXPECT_EQ(desk.does(What::Done, 0, desk.fence_of(0)), "");
-    EXPECT_NE(desk.does(What::Take, 0), "") << "it has been done";
-    EXPECT_EQ(desk.does(What::Take, 4), "");
-    EXPECT_EQ(desk.state.fence, 3u);
+    PlanFixture fixture(plan_of_forwarders(5, 2), 5);
+    EXPECT_EQ(fixture.does(What::Take, 0), "");
+    EXPECT_NE(fixture.does(What::Take, 0), "") << "it is out";
+    EXPECT_EQ(fixture.does(What::Take, 3), "");
+    EXPECT_NE(fixture.does(What::Take, 4), "") << "two are out";
+    EXPECT_EQ(fixture.does(What::Done, 0, fixture.fence_of(0)), "");
+    EXPECT_NE(fixture.does(What::Take, 0), "") << "it has been done";
+    EXPECT_EQ(fixture.does(What::Take, 4), "");
+    EXPECT_EQ(fixture.state.fence, 3u);
 }
 TEST(Ledger, CountsWhoIsLostAndHoldsInDoubt) {
-    Desk desk(plan_of_forwarders(9, 2), 9);
-    desk.facts.lost = {7};
-    EXPECT_EQ(desk.does(What::Take, 0), "");
-    EXPECT_NE(desk.does(What::Take, 1), "") << "one is out and one is lost";
-    desk.facts.lost = {0};
-    EXPECT_EQ(desk.does(What::Take, 1), "") << "who is out is not lost besides";
-    Desk unsure(plan_of_forwarders(9, 2), 9);
+    PlanFixture fixture(plan_of_forwarders(9, 2), 9);
+    fixture.facts.lost = {7};
+    EXPECT_EQ(fixture.does(What::Take, 0), "");
+    EXPECT_NE(fixture.does(What::Take, 1), "") << "one is out and one is lost";
+    fixture.facts.lost = {0};
+    EXPECT_EQ(fixture.does(What::Take, 1), "") << "who is out is not lost besides";
+    PlanFixture unsure(plan_of_forwarders(9, 2), 9);
     unsure.facts.sure = false;
     EXPECT_NE(unsure.does(What::Take, 0), "");
     unsure.facts.sure = true, unsure.facts.plan = nullptr;
@@ -72,22 +72,22 @@
     Plan plan = plan_of_forwarders(9, 5);
     plan.zones = {"a", "b"}, plan.most_in_zone = 1, plan.least_in = 6;
     for (Place& one : plan.machines) one.zone = one.machine < 5 ? 1 : 2;
-    Desk desk(plan, 9);
-    EXPECT_EQ(desk.does(What::Take, 0), "");
-    EXPECT_NE(desk.does(What::Take, 1), "") << "its zone has one out";
-    EXPECT_EQ(desk.does(What::Take, 6), "");
-    Desk least(plan_of_forwarders(9, 9), 9);
+    PlanFixture fixture(plan, 9);
+    EXPECT_EQ(fixture.does(What::Take, 0), "");
+    EXPECT_NE(fixture.does(What::Take, 1), "") << "its zone has one out";
+    EXPECT_EQ(fixture.does(What::Take, 6), "");
+    PlanFixture least(plan_of_forwarders(9, 9), 9);
     least.plan.least_in = 7;
     EXPECT_EQ(least.does(What::Take, 0), "");
     EXPECT_EQ(least.does(What::Take, 1), "");
     EXPECT_NE(least.does(What::Take, 2), "") << "seven must stay";
-    Desk voting(plan_of_forwarders(9, 9), 9);
+    PlanFixture voting(plan_of_forwarders(9, 9), 9);
     voting.facts.voters = {0, 1, 2, 3, 4};
     EXPECT_EQ(voting.does(What::Take, 0), "");
     EXPECT_EQ(voting.does(What::Take, 1), "");
     EXPECT_NE(voting.does(What::Take, 2), "") << "three of five voters must stay";
     EXPECT_EQ(voting.does(What::Take, 7), "");
-    Desk night(plan_of_forwarders(3, 1), 3);
+    PlanFixture night(plan_of_forwarders(3, 1), 3);
     night.plan.from = 22 * 60, night.plan.to = 6 * 60;
     night.facts.minute = 12 * 60;
     EXPECT_NE(night.does(What::Take, 0), "");
@@ -99,41 +99,41 @@
     plan.name = "hosts", plan.most_out = 3;
     plan.machines = {{host_of("x"), "x", 0, {11}, {7}}, {host_of("y"), "y", 0, {12}, {7, 9}},
         {host_of("z"), "z", 0, {13}, {8}}};
-    Desk desk(plan, 3);
-    desk.facts.left = [](Machine machine) { return machine == host_of("z") ? 40u : 60u; };
-    EXPECT_EQ(desk.does(What::Take, host_of("x")), "");
-    EXPECT_NE(desk.does(What::Take, host_of("y")), "") << "it shares destination 7";
-    EXPECT_NE(desk.does(What::Take, host_of("z")), "") << "40 percent would stay, 50 must";
-    EXPECT_EQ(desk.does(What::Free, host_of("x"), desk.fence_of(host_of("x"))), "");
-    EXPECT_EQ(desk.does(What::Done, host_of("x"), desk.fence_of(host_of("x"))), "");
-    EXPECT_EQ(desk.does(What::Take, host_of("y")), "");
+    PlanFixture fixture(plan, 3);
+    fixture.facts.left = [](Machine machine) { return machine == host_of("z") ? 40u : 60u; };
+    EXPECT_EQ(fixture.does(What::Take, host_of("x")), "");
+    EXPECT_NE(fixture.does(What::Take, host_of("y")), "") << "it shares destination 7";
+    EXPECT_NE(fixture.does(What::Take, host_of("z")), "") << "40 percent would stay, 50 must";
+    EXPECT_EQ(fixture.does(What::Free, host_of("x"), fixture.fence_of(host_of("x"))), "");
+    EXPECT_EQ(fixture.does(What::Done, host_of("x"), fixture.fence_of(host_of("x"))), "");
+    EXPECT_EQ(fixture.does(What::Take, host_of("y")), "");
 }
 TEST(Ledger, EndsNothingByAnotherNumberAndHoldsWhatBreaks) {
-    Desk desk(plan_of_forwarders(4, 2), 4);
-    EXPECT_EQ(desk.does(What::Take, 0), "");
+    PlanFixture fixture(plan_of_forwarders(4, 2), 4);
+    EXPECT_EQ(fixture.does(What::Take, 0), "");
     for (const What what : {What::Done, What::Back, What::Broken, What::Renew, What::Free, What::Expire}) {
-        EXPECT_NE(desk.does(what, 0, desk.state.fence + 1), "") << text_of(what);
-        ASSERT_NE(desk.state.out(0), nullptr) << text_of(what);
+        EXPECT_NE(fixture.does(what, 0, fixture.state.fence + 1), "") << text_of(what);
+        ASSERT_NE(fixture.state.out(0), nullptr) << text_of(what);
     }
-    EXPECT_EQ(desk.does(What::Renew, 0, desk.fence_of(0)), "");
-    EXPECT_NE(desk.does(What::Expire, 0, desk.fence_of(0), 0), "") << "it was renewed meanwhile";
-    EXPECT_EQ(desk.does(What::Expire, 0, desk.fence_of(0), 1), "");
-    EXPECT_EQ(desk.state.out(0)->phase, Out::Phase::Overdue);
-    EXPECT_EQ(desk.state.mode, Mode::Held);
-    EXPECT_EQ(desk.state.about, 0);
-    EXPECT_NE(desk.does(What::Take, 1), "");
-    EXPECT_EQ(desk.does(What::Approve), "");
-    EXPECT_EQ(desk.does(What::Take, 1), "");
-    EXPECT_NE(desk.does(What::Take, 2), "") << "who is overdue counts as out";
-    EXPECT_EQ(desk.does(What::Broken, 1, desk.fence_of(1)), "");
-    EXPECT_EQ(desk.state.reason, Reason::Broken);
-    EXPECT_EQ(desk.does(What::Drop, 0), "");
-    EXPECT_EQ(desk.does(What::Done, 1, desk.fence_of(1)), "");
-    EXPECT_EQ(desk.state.done_count(), 1u) << "who was dropped has not been done";
-    EXPECT_EQ(desk.does(What::Force, 3), "") << "whatever the plan says";
-    EXPECT_TRUE(desk.state.out(3)->forced);
-    EXPECT_EQ(state_of(bytes_of(desk.state)), desk.state);
-    Desk back(plan_of_forwarders(4, 2), 4);
+    EXPECT_EQ(fixture.does(What::Renew, 0, fixture.fence_of(0)), "");
+    EXPECT_NE(fixture.does(What::Expire, 0, fixture.fence_of(0), 0), "") << "it was renewed meanwhile";
+    EXPECT_EQ(fixture.does(What::Expire, 0, fixture.fence_of(0), 1), "");
+    EXPECT_EQ(fixture.state.out(0)->phase, Out::Phase::Overdue);
+    EXPECT_EQ(fixture.state.mode, Mode::Held);
+    EXPECT_EQ(fixture.state.about, 0);
+    EXPECT_NE(fixture.does(What::Take, 1), "");
+    EXPECT_EQ(fixture.does(What::Approve), "");
+    EXPECT_EQ(fixture.does(What::Take, 1), "");
+    EXPECT_NE(fixture.does(What::Take, 2), "") << "who is overdue counts as out";
+    EXPECT_EQ(fixture.does(What::Broken, 1, fixture.fence_of(1)), "");
+    EXPECT_EQ(fixture.state.reason, Reason::Broken);
+    EXPECT_EQ(fixture.does(What::Drop, 0), "");
+    EXPECT_EQ(fixture.does(What::Done, 1, fixture.fence_of(1)), "");
+    EXPECT_EQ(fixture.state.done_count(), 1u) << "who was dropped has not been done";
+    EXPECT_EQ(fixture.does(What::Force, 3), "") << "whatever the plan says";
+    EXPECT_TRUE(fixture.state.out(3)->forced);
+    EXPECT_EQ(state_of(bytes_of(fixture.state)), fixture.state);
+    PlanFixture back(plan_of_forwarders(4, 2), 4);
     back.plan.overdue = Overdue::Back;
     EXPECT_EQ(back.does(What::Take, 0), "");
     EXPECT_EQ(back.does(What::Expire, 0, back.fence_of(0), 0), "");
@@ -141,27 +141,27 @@
     EXPECT_EQ(back.state.mode, Mode::Approved);
 }
 TEST(Ledger, AnotherPlanComesOnlyWhereNothingIsOut) {
-    Desk desk(plan_of_forwarders(3, 1), 3);
+    PlanFixture fixture(plan_of_forwarders(3, 1), 3);
     Change other;
     other.what = What::Plan, other.plan = 77, other.places = 3;
-    EXPECT_NE(desk.does(other), "") << "one is in force";
-    EXPECT_EQ(desk.does(What::Take, 0), "");
-    EXPECT_EQ(desk.does(What::Hold), "");
-    EXPECT_NE(desk.does(other), "") << "one is out by it";
-    EXPECT_EQ(desk.does(What::Done, 0, desk.fence_of(0)), "");
-    EXPECT_EQ(desk.does(other), "");
-    EXPECT_EQ(desk.state.epoch, 2u);
-    EXPECT_EQ(desk.state.mode, Mode::Proposed);
-    EXPECT_EQ(desk.state.done_count(), 0u);
+    EXPECT_NE(fixture.does(other), "") << "one is in force";
+    EXPECT_EQ(fixture.does(What::Take, 0), "");
+    EXPECT_EQ(fixture.does(What::Hold), "");
+    EXPECT_NE(fixture.does(other), "") << "one is out by it";
+    EXPECT_EQ(fixture.does(What::Done, 0, fixture.fence_of(0)), "");
+    EXPECT_EQ(fixture.does(other), "");
+    EXPECT_EQ(fixture.state.epoch, 2u);
+    EXPECT_EQ(fixture.state.mode, Mode::Proposed);
+    EXPECT_EQ(fixture.state.done_count(), 0u);
 }
 TEST(Ledger, FinishesWhenAllAreDoneAndCancelledEndsForGood) {
-    Desk desk(plan_of_forwarders(2, 1), 3);
+    PlanFixture fixture(plan_of_forwarders(2, 1), 3);
     for (const Machine one : {0, 1}) {
-        EXPECT_EQ(desk.does(What::Take, one), "");
-        EXPECT_EQ(desk.does(What::Done, one, desk.fence_of(one)), "");
+        EXPECT_EQ(fixture.does(What::Take, one), "");
+        EXPECT_EQ(fixture.does(What::Done, one, fixture.fence_of(one)), "");
     }
-    EXPECT_EQ(desk.state.mode, Mode::Finished);
-    Desk other(plan_of_forwarders(2, 1), 3);
+    EXPECT_EQ(fixture.state.mode, Mode::Finished);
+    PlanFixture other(plan_of_forwarders(2, 1), 3);
     EXPECT_EQ(other.does(What::Take, 0), "");
     EXPECT_EQ(other.does(What::Cancel), "");
     EXPECT_NE(other.does(What::Approve), "");
@@ -180,26 +180,26 @@
         plan.least_in = static_cast<std::uint16_t>(random() % members);
         plan.overdue = random() % 2 ? Overdue::Back : Overdue::Out;
         for (Place& one : plan.machines) one.zone = static_cast<std::uint8_t>(random() % 4);
-        Desk desk(plan, members);
-        desk.facts.voters = voters_of(members);
+        PlanFixture fixture(plan, members);
+        fixture.facts.voters = voters_of(members);
         std::set<std::uint32_t> fences;
         for (int step = 0; step < 200; ++step) {
-            desk.facts.lost.clear();
+            fixture.facts.lost.clear();
             for (Machine i = 0; i < members; ++i)
-                if (random() % 8 == 0) desk.facts.lost.push_back(i);
-            const State before = desk.state;
+                if (random() % 8 == 0) fixture.facts.lost.push_back(i);
+            const State before = fixture.state;
             Change change;
             change.what = static_cast<What>(random() % 11);  // all but force out
             if (change.what == What::Plan || change.what == What::Cancel) change.what = What::Take;
             change.machine = static_cast<Machine>(random() % members);
             const Out* out = before.out(change.machine);
             if (out != nullptr && random() % 4) change.fence = out->fence, change.term = out->term;
-            desk.does(change);
-            const State& now = desk.state;
+            fixture.does(change);
+            const State& now = fixture.state;
             ASSERT_GE(now.fence, before.fence);
             ASSERT_LE(bytes_of(now).size(), kMostState);
             ASSERT_EQ(state_of(bytes_of(now)), now);
-            std::set<Machine> missing(desk.facts.lost.begin(), desk.facts.lost.end());
+            std::set<Machine> missing(fixture.facts.lost.begin(), fixture.facts.lost.end());
             for (const Out& one : now.outs) missing.insert(one.machine);
             const bool went = now.outs.size() > before.outs.size();
             if (!went) continue;
