--- a/src/core/captures.cpp
+++ b/src/core/captures.cpp
@@ -36,8 +36,8 @@
 
 }  // namespace
 
-Captures::Captures(
-    boost::asio::io_context& io, const Config& config, cometspoke::Sender& module, const Directory& directory)
+Captures::Captures(boost::asio::io_context& io, const Config& config, cometspoke::Sender& module,
+    const TargetRegistry& directory)
     : io_(io), config_(config), module_(module), directory_(directory), written_(io) {
     if (config_.capture) begin();
 }
@@ -48,7 +48,7 @@
         capture::About{LOCKGW_VERSION, names_in_order(names.classes), names_in_order(names.tenants),
             names_in_order(names.kinds)},
         module_);
-    directory_.each(
+    directory_.for_each(
         [this](cometspoke::EndpointId endpoint, const std::string& name) { named(endpoint, name); });
 }
 
--- a/src/core/captures.hpp
+++ b/src/core/captures.hpp
@@ -11,7 +11,7 @@
 
 #include "capture/recorder.hpp"
 #include "config/config.hpp"
-#include "membership/directory.hpp"
+#include "discovery/target_registry.hpp"
 
 namespace lockgw {
 
@@ -20,7 +20,7 @@
     /// Begins at once where the configuration has [capture]; throws where its folder cannot be used. All
     /// outlive it.
     Captures(boost::asio::io_context& io, const Config& config, cometspoke::Sender& module,
-        const Directory& directory);
+        const TargetRegistry& directory);
 
     /// As those of capture::Recorder; nothing where nothing is captured.
     void observed(const cometspoke::Event& event, cometspoke::Time at) {
@@ -50,7 +50,7 @@
     boost::asio::io_context& io_;
     const Config& config_;
     cometspoke::Sender& module_;
-    const Directory& directory_;
+    const TargetRegistry& directory_;
     std::unique_ptr<capture::Recorder> recorder_;
     std::unique_ptr<capture::Recorder> ending_;  // what it was told is being written
     boost::asio::steady_timer written_;
--- a/src/core/forwarder.cpp
+++ b/src/core/forwarder.cpp
@@ -72,8 +72,8 @@
           io,
           {config_.discovery, config_.known, cometspoke::settings::names_in(config_.names.zones),
               cometspoke::settings::names_in(config_.names.kinds), config_.settings.n_instances, config_.seed,
-              config_.drain_grace, list_bytes_for(config_.memory_bytes)},
-          [this](const View::Update& update) { list(update); },
+              config_.drain_grace, max_list_bytes_for(config_.memory_bytes)},
+          [this](const TargetView::Update& update) { list(update); },
           [this](MessageId id) {
               open_turn();
               journal_.confirmed(id);
@@ -98,7 +98,7 @@
 void Forwarder::start() {
     planner_.ordered(config_.spread, routes_.weights());
     tell_routes();
-    discovery_.take_known();
+    discovery_.apply_known_list();
     const bool handed_over = known_.has_value();
     learn();
     tier_.start();
@@ -122,18 +122,18 @@
             terms_[i] = std::make_shared<ClassSettings>(classes[i]);
 }
 
-void Forwarder::list(const View::Update& update) {
-    const TargetList& told = update.told;
-    const auto gone = directory_.listed(told, std::chrono::steady_clock::now());
+void Forwarder::list(const TargetView::Update& update) {
+    const TargetList& told = update.list;
+    const auto gone = directory_.apply_list(told, std::chrono::steady_clock::now());
     if (told.complete) members_ = {};
     for (const EndpointId endpoint : gone) {
         if (const std::string* name = directory_.name_of(endpoint)) note_gone(*name), planner_.erase(*name);
         delivery_->forget(endpoint);
     }
     ListEvent event;
-    event.kind = !told.complete              ? ListKind::Changes
-                 : discovery_.view().whole() ? ListKind::Full
-                                             : ListKind::Cached;
+    event.kind = !told.complete                      ? ListKind::Changes
+                 : discovery_.view().has_full_list() ? ListKind::Full
+                                                     : ListKind::Cached;
     for (const Target& target : told.targets) {
         const auto endpoint = directory_.find(target.id);
         if (!endpoint) continue;  // it went before it was ever listed here
@@ -162,26 +162,26 @@
         else
             members_.put({target.id, target.destination, target.kind, target.zone, entry.condition});
     }
-    for (const std::string& id : update.restarted)  // connections to the process before it are dead
+    for (const std::string& id : update.restarted_ids)  // connections to the process before it are dead
         if (const auto endpoint = directory_.find(id)) delivery_->close_idle(*endpoint);
     observe(event);
     recovery_.listed();
-    if (!update.more) tell_routes();  // endpoints that they name may have got their numbers
+    if (!update.more_follows) tell_routes();  // endpoints that they name may have got their numbers
 }
 
 /// The send gate: asked right before a call's first byte, on every path. A call may have been chosen before
 /// the news of a drain or a told wait, and its connection may have taken long to come up.
 bool Forwarder::may_have(const Call& call, const Tcp::endpoint& address) const {
     const std::string* name = directory_.name_of(call.endpoint);
-    const auto gate = name == nullptr ? View::Gate::Gone
+    const auto gate = name == nullptr ? TargetView::SendCheck::Gone
                       : orders_.now().out(*name) || work_.out(*name)
-                          ? View::Gate::Draining
-                          : discovery_.view().gate(*name, address, call.destination);
+                          ? TargetView::SendCheck::Draining
+                          : discovery_.view().check_send(*name, address, call.destination);
     const bool waits = sender_.wait_until(call.endpoint) > steady_now();
-    if (gate == View::Gate::Open && !waits) return true;
+    if (gate == TargetView::SendCheck::Allowed && !waits) return true;
     log::info("core", "not sent",
         {{"message", cometspoke::settings::id_text(call.message)}, {"target", name == nullptr ? "?" : *name},
-            {"it", gate == View::Gate::Open ? "told to wait" : text_of(gate)}});
+            {"it", gate == TargetView::SendCheck::Allowed ? "told to wait" : text_of(gate)}});
     return false;
 }
 
@@ -198,9 +198,10 @@
     // A client that met a closed connection hands the same id in once more: it is held already, or has ended
     // meanwhile, and to take it on anew would have it run twice.
     if (journal_.find(id) != nullptr || ended_.contains(id, steady_now())) return done(Reply::taken());
-    if (!directory_.has(message.destination, std::chrono::steady_clock::now()) && !directory_.blank())
-        return done(
-            discovery_.view().whole() ? Reply::rejected("unknown destination") : Reply::busy(kRoomWait));
+    if (!directory_.has_destination(message.destination, std::chrono::steady_clock::now()) &&
+        !directory_.empty())
+        return done(discovery_.view().has_full_list() ? Reply::rejected("unknown destination")
+                                                      : Reply::busy(kRoomWait));
     if (journal_.unended() + newcomers_.size() >= config_.settings.most_held)
         return done(Reply::busy(kRoomWait));
     const std::string& kind = kind_of(message.destination);
@@ -379,11 +380,11 @@
 }
 void Forwarder::carry_out(const Refuse& refuse, const Recorded& recorded) {
     if (recorded.kept)
-        discovery_.report(
+        discovery_.report_final_status(
             refuse.message, {true, std::chrono::duration_cast<milliseconds>(refuse.retry_after)});
 }
 void Forwarder::carry_out(const Fail& fail, const Recorded& recorded) {
-    if (recorded.kept) discovery_.report(fail.message, {});
+    if (recorded.kept) discovery_.report_final_status(fail.message, {});
 }
 void Forwarder::carry_out(const SetTimer& timer, const Recorded&) {
     timer_.expires_after(timer.delay);
--- a/src/core/forwarder.hpp
+++ b/src/core/forwarder.hpp
@@ -14,10 +14,10 @@
 #include "core/recovery_coordinator.hpp"
 #include "core/tier.hpp"
 #include "core/work.hpp"
+#include "discovery/discovery_client.hpp"
+#include "discovery/target_registry.hpp"
 #include "handover/knowledge.hpp"
 #include "handover/plan.hpp"
-#include "membership/directory.hpp"
-#include "membership/discovery.hpp"
 #include "operations/operations.hpp"
 #include "routes/table.hpp"
 #include "spread/planner.hpp"
@@ -100,7 +100,7 @@
     void reroute_held();
     RouteId route_of(const Message& message) const;
     const std::string& kind_of(std::int64_t destination) const;
-    void list(const View::Update& update);
+    void list(const TargetView::Update& update);
     bool told_cold(const Target& target);
     std::optional<cometspoke::Time> began(const Target& target, bool put_back) const;
     void note_gone(const std::string& id);
@@ -169,13 +169,13 @@
     std::function<bool()> wanted_;
     std::function<void()> over_;
     cometspoke::Sender sender_;
-    Directory directory_;
+    TargetRegistry directory_;
     Captures captures_;
     routes::Table routes_;
     routes::Members members_;  // as listed, by destination
     spread::Planner planner_;
     std::unique_ptr<Delivery> delivery_;
-    Discovery discovery_;
+    DiscoveryClient discovery_;
     TierWatch tier_;
     std::optional<TierWatch::Standing> standing_;  // once it differs from what was told at the start
     RecoveryCoordinator recovery_;
--- a/src/core/forwarder_changes.cpp
+++ b/src/core/forwarder_changes.cpp
@@ -63,8 +63,8 @@
 
 void Forwarder::write_knowledge() {
     handover::Known known;
-    known.list = discovery_.list();
-    directory_.each([&](EndpointId number, const std::string& id) {
+    known.list = discovery_.list_json();
+    directory_.for_each([&](EndpointId number, const std::string& id) {
         known.ids.emplace(id, number);
         if (const Time until = sender_.wait_until(number); until > steady_now())
             known.waits.emplace(id, until);
@@ -85,7 +85,7 @@
 void Forwarder::learn() {
     if (!known_) return;
     std::map<std::string, EndpointId> to;
-    directory_.each([&](EndpointId number, const std::string& id) { to.emplace(id, number); });
+    directory_.for_each([&](EndpointId number, const std::string& id) { to.emplace(id, number); });
     const std::size_t learned = handover::learn(sender_, *known_, to, config_.settings);
     log::info("core", "taken over",
         {{"targets_known", learned}, {"waits", known_->waits.size()}, {"messages", journal_.unended()}});
@@ -94,7 +94,7 @@
 
 std::set<std::string> Forwarder::listed() const {
     std::set<std::string> ids;
-    directory_.each([&](EndpointId, const std::string& id) { ids.insert(id); });
+    directory_.for_each([&](EndpointId, const std::string& id) { ids.insert(id); });
     return ids;
 }
 
@@ -105,7 +105,7 @@
     if (order.kind == operations::Order::Kind::Ready)
         return listening_ && !draining_ ? Answer{} : Answer{Answer::Kind::NotReady, "it does not serve"};
     const auto number = directory_.find(order.target);
-    const bool listed = number && discovery_.view().current(order.target).has_value();
+    const bool listed = number && discovery_.view().find(order.target).has_value();
     const operations::Operations before = orders_.now();
     Answer answer;
     const bool kept = orders_.update([&](operations::Operations& state) {
@@ -134,13 +134,13 @@
 void Forwarder::carry_out(const operations::Operations& before) {
     const auto moves = before.moves(orders_.now());
     if (moves.service) service();
-    View::Update update;
+    TargetView::Update update;
     for (const auto* ids : {&moves.out, &moves.back})
         for (const std::string& id : *ids) {
             if (ids == &moves.back) told_cold_.erase(id);
-            if (const auto target = discovery_.view().current(id)) update.told.targets.push_back(*target);
+            if (const auto target = discovery_.view().find(id)) update.list.targets.push_back(*target);
         }
-    if (!update.told.targets.empty()) list(update);
+    if (!update.list.targets.empty()) list(update);
 }
 
 /// Put back by hand, and not told to the module since.
@@ -178,11 +178,11 @@
     if (standing_) config_.settings.n_instances = standing_->parts;
     share_terms();
     observe(SettingsEvent{config_.settings});
-    discovery_.names(cometspoke::settings::names_in(config_.names.zones),
+    discovery_.set_known_names(cometspoke::settings::names_in(config_.names.zones),
         cometspoke::settings::names_in(config_.names.kinds));
     config_.drain_grace = fresh.drain_grace;
-    discovery_.drain_grace(config_.drain_grace);
-    discovery_.move_to(fresh.discovery);
+    discovery_.set_drain_grace(config_.drain_grace);
+    discovery_.switch_agent(fresh.discovery);
     routes_ = std::move(routes);
     config_.spread = fresh.spread;
     planner_.ordered(config_.spread, routes_.weights());
--- a/src/core/forwarder_return.cpp
+++ b/src/core/forwarder_return.cpp
@@ -77,7 +77,7 @@
     }
     if (recovery_.asking() || !recovery_.orders_lost() || recovery_.taken().out.empty()) return;
     std::vector<std::string> out;
-    directory_.each([&](EndpointId, const std::string& id) {
+    directory_.for_each([&](EndpointId, const std::string& id) {
         const std::uint64_t name = spread::known_as(id);
         if (recovery_.taken().out.contains(name) && heeded_.insert(name).second) out.push_back(id);
     });
@@ -99,7 +99,7 @@
     for (const Entry* entry : journal_.in_order()) {
         const Message& message = entry->message;
         if (entry->notice) {
-            discovery_.report(message.id, *entry->notice);
+            discovery_.report_final_status(message.id, *entry->notice);
             continue;
         }
         const auto kind = class_of(message);
@@ -155,7 +155,7 @@
 /// Of a message that an earlier process held and that nobody decides on any more.
 void Forwarder::end(MessageId id, const Notice& notice) {
     journal_.end(id, notice);
-    discovery_.report(id, notice);
+    discovery_.report_final_status(id, notice);
 }
 
 }  // namespace lockgw
--- a/src/core/forwarder_sharing.cpp
+++ b/src/core/forwarder_sharing.cpp
@@ -33,7 +33,7 @@
     standing_ = standing;
     planner_.stand(spread::point_of(standing.rank, standing.present), standing.present, standing.parts);
     config_.settings.n_instances = standing.parts;
-    discovery_.among(standing.present);
+    discovery_.set_forwarder_count(standing.present);
     observe(SettingsEvent{config_.settings});
 }
 
--- a/src/core/forwarder_work.cpp
+++ b/src/core/forwarder_work.cpp
@@ -39,7 +39,7 @@
         const auto at = plan->index_of(machine);
         if (!at) return false;
         bool free = true;
-        directory_.each([&](EndpointId number, const std::string& id) {
+        directory_.for_each([&](EndpointId number, const std::string& id) {
             const auto& names = plan->machines[*at].targets;
             if (std::find(names.begin(), names.end(), spread::known_as(id)) == names.end()) return;
             const auto known = sender_.state().endpoints_.find(number);
@@ -61,7 +61,7 @@
         bool touched = false;
         for (const auto& one : members) {
             const std::uint64_t name = spread::known_as(one.id);
-            const auto target = discovery_.view().current(one.id);
+            const auto target = discovery_.view().find(one.id);
             const double size = target && target->rate > 0 ? target->rate : 1;
             const auto& gone = plan.machines[*at].targets;
             const bool goes = std::find(gone.begin(), gone.end(), name) != gone.end();
@@ -99,15 +99,15 @@
     const auto& out = work_.all_out();
     if (out == work_out_) return;
     const std::set<std::uint64_t> before = std::exchange(work_out_, out);
-    View::Update update;
-    directory_.each([&](EndpointId, const std::string& id) {
+    TargetView::Update update;
+    directory_.for_each([&](EndpointId, const std::string& id) {
         const std::uint64_t name = spread::known_as(id);
         const bool was = before.contains(name), is = out.contains(name);
         if (was == is) return;
         if (was) back_from_work_[id] = steady_now();
-        if (const auto target = discovery_.view().current(id)) update.told.targets.push_back(*target);
+        if (const auto target = discovery_.view().find(id)) update.list.targets.push_back(*target);
     });
-    if (!update.told.targets.empty()) list(update);
+    if (!update.list.targets.empty()) list(update);
 }
 
 /// Put back after work, and not told to the module as cold since.
--- a/src/core/recovery_coordinator.cpp
+++ b/src/core/recovery_coordinator.cpp
@@ -101,7 +101,7 @@
     if (waits_.empty() && pending_.targets.empty() && pending_.destinations.empty()) return;
     const Time now = steady_now();
     std::map<std::string, EndpointId> to;
-    parts_.directory.each([&](EndpointId number, const std::string& id) { to.emplace(id, number); });
+    parts_.directory.for_each([&](EndpointId number, const std::string& id) { to.emplace(id, number); });
     const auto& state = parts_.sender.state();
     cometspoke::LearnedEvent event = event_of(pending_, to, now);
     for (auto wait = waits_.begin(); wait != waits_.end();) {
@@ -268,7 +268,7 @@
             {"down", taken_.down.size()}, {"back", taken_.back.value_or(0)}});
     Snapshot facts;
     facts.at = moment_now();
-    parts_.directory.each([&](EndpointId number, const std::string& id) {
+    parts_.directory.for_each([&](EndpointId number, const std::string& id) {
         const auto down = taken_.down.find(spread::known_as(id));
         const auto& endpoints = parts_.sender.state().endpoints_;
         const auto at = endpoints.find(number);
@@ -278,7 +278,7 @@
         facts.targets.push_back(std::move(one));
     });
     std::map<std::string, EndpointId> to;
-    parts_.directory.each([&](EndpointId number, const std::string& id) { to.emplace(id, number); });
+    parts_.directory.for_each([&](EndpointId number, const std::string& id) { to.emplace(id, number); });
     const auto event = event_of(facts, to, now);
     learned_ += event.endpoints.size();
     if (!event.endpoints.empty()) tell_(event);
--- a/src/core/recovery_coordinator.hpp
+++ b/src/core/recovery_coordinator.hpp
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "core/tier.hpp"
-#include "membership/directory.hpp"
+#include "discovery/target_registry.hpp"
 #include "notes/carrier.hpp"
 #include "recovery/backlog_pacing.hpp"
 #include "recovery/learning.hpp"
@@ -30,7 +30,7 @@
         const Config& config;
         cometspoke::Sender& sender;
         Journal& journal;
-        const Directory& directory;
+        const TargetRegistry& directory;
         TierWatch& tier;
     };
     /// `due`: something is to be taken up, or the asking is over: a turn is wanted.
--- a/src/core/tier.cpp
+++ b/src/core/tier.cpp
@@ -84,7 +84,7 @@
     say(watch_->tick(now));
     remember();
     if (watch_->counts().stalls > stalls) {  // what waits in the socket is from before
-        const std::size_t dropped = peers_.drop_pending();
+        const std::size_t dropped = peers_.discard_pending();
         log::warn("tier", "was stopped itself: believes nothing old", {{"notes_dropped", dropped}});
     }
     for (const Number peer : watch_->to_tell(random_)) send(peer);
@@ -109,9 +109,9 @@
         sections.push_back(
             {static_cast<std::uint8_t>(notes::Kind::Tier), tier::bytes_of(watch_->note(now, room - beside))});
     if (!limits.empty()) sections.push_back({static_cast<std::uint8_t>(notes::Kind::Limits), limits});
-    peers_.tell(peer, notes::frame_of(sections));
+    peers_.send(peer, notes::frame_of(sections));
     if (!limits.empty() && !frames_[peer] && outbox_.may_send(limits.size(), now))
-        peers_.tell(peer, limits);  // an older build's
+        peers_.send(peer, limits);  // an older build's
 }
 
 void TierWatch::came(const PeerNote& note) {
@@ -146,7 +146,7 @@
 
 void TierWatch::say(Number to, notes::Kind kind, const std::string& bytes) {
     const std::string frame = notes::frame_of({{static_cast<std::uint8_t>(kind), bytes}});
-    if (watch_ && outbox_.may_send(frame.size(), steady_now())) peers_.tell(to, frame);
+    if (watch_ && outbox_.may_send(frame.size(), steady_now())) peers_.send(to, frame);
 }
 
 std::vector<Number> TierWatch::some(std::size_t most) {
@@ -192,7 +192,7 @@
 
 /// At once, for the ages in it are those of now; the watch knows better than the module who is there.
 void TierWatch::tell(const TellPeers& note) {
-    if (!watch_) return peers_.tell(note.to, note.bytes);
+    if (!watch_) return peers_.send(note.to, note.bytes);
     const auto to = watch_->to_tell(random_);
     if (!to.empty()) send(to.back(), note.bytes);
 }
--- a/src/core/tier.hpp
+++ b/src/core/tier.hpp
@@ -10,7 +10,7 @@
 #include <random>
 
 #include "config/config.hpp"
-#include "membership/peers.hpp"
+#include "discovery/peer_socket.hpp"
 #include "notes/carrier.hpp"
 #include "tier/parts.hpp"
 #include "tier/watch.hpp"
@@ -68,7 +68,7 @@
     const Config& config_;
     std::function<void(const Standing&)> changed_;
     std::function<void(cometspoke::PeerNote)> limits_;
-    Peers peers_;
+    PeerSocket peers_;
     asio::steady_timer timer_;
     std::mt19937_64 random_;
     std::optional<tier::Watch> watch_;
--- a/src/program/load.cpp
+++ b/src/program/load.cpp
@@ -4,7 +4,7 @@
 
 #include "config/address.hpp"
 #include "config/stand_alone.hpp"
-#include "membership/member.hpp"
+#include "discovery/target_list.hpp"
 
 namespace lockgw::program {
 
@@ -45,7 +45,7 @@
 std::optional<routes::Members> listed(const Json& list, bool needed, Problems& problems) try {
     if (!list.is_object() || !list.contains("members")) return std::nullopt;
     routes::Members members;
-    for (const Target& target : list_of(list).targets)
+    for (const Target& target : parse_target_list(list).targets)
         if (target.condition != cometspoke::Condition::Gone)
             members.put({target.id, target.destination, target.kind, target.zone, target.condition});
     return members;
--- a/tests/acceptance_test.cpp
+++ b/tests/acceptance_test.cpp
@@ -3,7 +3,7 @@
 #include <random>
 
 #include "core/clocks.hpp"
-#include "membership_fixture.hpp"
+#include "discovery_fixture.hpp"
 
 namespace lockgw {
 namespace {
@@ -140,7 +140,7 @@
 
 // ---- restart ----
 
-class RestartAcceptance : public MembershipTest {
+class RestartAcceptance : public DiscoveryTest {
 protected:
     static constexpr int kBacklog = 120;
     static constexpr auto kTime = 9s;     ///< that each message has
@@ -148,7 +148,7 @@
 
     void fill(Client& client) {
         for (int i = 0; i < kBacklog; ++i) {
-            const std::string id = fresh_id();
+            const std::string id = new_message_id();
             const bool unsafe = i % 2 == 0;
             ASSERT_EQ(enqueue(client, id, unsafe ? "unsafe" : "keyed", 7,
                           static_cast<int>(std::chrono::milliseconds(kTime).count())),
@@ -166,7 +166,7 @@
         targets.limit(0, kLimit);
     }
     bool all_over(const std::set<std::string>& ids) {
-        return waits_for([&] {
+        return eventually([&] {
             const auto effects = targets.effects_by_id();
             return std::all_of(ids.begin(), ids.end(),
                 [&](const std::string& id) { return effects.contains(id) || directory.notices_of(id) > 0; });
--- a/tests/capture_program_test.cpp
+++ b/tests/capture_program_test.cpp
@@ -7,15 +7,15 @@
 #include "capture/replay.hpp"
 #include "capture/story.hpp"
 #include "control/client.hpp"
-#include "membership_fixture.hpp"
+#include "discovery_fixture.hpp"
 #include "program/commands.hpp"
 
 namespace lockgw {
 namespace {
 
-class CaptureProgram : public MembershipTest {
+class CaptureProgram : public DiscoveryTest {
 protected:
-    CaptureProgram() : MembershipTest(4) {
+    CaptureProgram() : DiscoveryTest(4) {
         node.config()["settings"]["limits"]["most_held"] = 200;
         std::ofstream(node.folder() / "operator.toml") << "[capture]\ndisk_mb = 4\nsegment_mb = 0.1\n";
         node.set_environment("LOCKGW_CONFIG", (node.folder() / "operator.toml").string());
--- a/tests/crowd_test.cpp
+++ b/tests/crowd_test.cpp
@@ -8,7 +8,7 @@
 #include <csignal>
 #include <list>
 
-#include "membership_fixture.hpp"
+#include "discovery_fixture.hpp"
 
 namespace lockgw {
 namespace {
@@ -19,9 +19,9 @@
 };
 std::ostream& operator<<(std::ostream& out, const Crowd& crowd) { return out << crowd.name; }
 
-class DoorTest : public MembershipTest {
+class DoorTest : public DiscoveryTest {
 protected:
-    DoorTest() : MembershipTest(2) {
+    DoorTest() : DiscoveryTest(2) {
         node.config()["limits"]["sockets"] = 384;  // 256 for clients
         node.config()["limits"]["disk_mb"] = 32;
         node.config()["settings"]["family_info"]["slots"] = 64;
@@ -125,7 +125,7 @@
     ASSERT_EQ(::kill(node.pid(), SIGSTOP), 0);
     std::list<Client> clients;
     for (int i = 0; i < kClients; ++i) {
-        const std::string id = fresh_id();
+        const std::string id = new_message_id();
         clients.emplace_back(node.address());
         clients.back().send(rig::command({"ENQUEUE", "0000000000000000", id,
             "c=safe,t=acme,d=30000,k=" + id + ",dest=7", std::string(200, 'b')}));
@@ -152,7 +152,7 @@
     }
     for (int i = 0; i < 50; ++i) {
         Client client = node.client();
-        const std::string id = fresh_id();
+        const std::string id = new_message_id();
         client.send(
             rig::command({"ENQUEUE", "0000000000000000", id, "c=safe,t=acme,d=30000,k=x,dest=7", "B"}));
         client.finish_sending();
@@ -170,13 +170,13 @@
     std::list<Client> clients;
     for (int i = 0; i < 150; ++i) {
         clients.emplace_back(node.address());
-        ASSERT_EQ(enqueue(clients.back(), fresh_id()), "+OK");
+        ASSERT_EQ(enqueue(clients.back(), new_message_id()), "+OK");
     }
     node.terminate();
     for (Client& client : clients) {
         ASSERT_TRUE(client.ended());
         Client again(other.address());
-        ASSERT_EQ(enqueue(again, fresh_id()), "+OK") << other.log();
+        ASSERT_EQ(enqueue(again, new_message_id()), "+OK") << other.log();
     }
     EXPECT_EQ(node.wait(), 0) << node.log();
 }
@@ -187,7 +187,7 @@
     node.config()["limits"]["memory_mb"] = 4;  // 1 MB for what clients send, half of it for one tenant
     start_with({member("s-1", 0)});
     const auto request = [this](const char* tenant, std::size_t bytes) {
-        const std::string id = fresh_id();
+        const std::string id = new_message_id();
         return rig::command({"ENQUEUE", "0000000000000000", id,
             std::string("c=safe,t=") + tenant + ",d=30000,k=" + id + ",dest=7", std::string(bytes, 'b')});
     };
--- a/tests/daily_test.cpp
+++ b/tests/daily_test.cpp
@@ -2,14 +2,14 @@
 #include <boost/asio/connect.hpp>
 #include <boost/asio/read.hpp>
 
-#include "membership_fixture.hpp"
+#include "discovery_fixture.hpp"
 
 namespace lockgw {
 namespace {
 
 using Clock = std::chrono::steady_clock;
 
-class DailyTest : public MembershipTest {
+class DailyTest : public DiscoveryTest {
 protected:
     DailyTest() {
         console = text_of(rig::free_endpoint());
@@ -75,7 +75,7 @@
     std::deque<Client> silent, crowd;
     for (int i = 0; i < 64; ++i) silent.emplace_back(tcp_endpoint(console, "console"));
     for (int i = 0; i < 300; ++i) crowd.emplace_back(node.address());
-    Heartbeat heart;
+    SchedulingLagMonitor heart;
     for (int i = 0; i < 5; ++i) {
         const auto from = Clock::now();
         EXPECT_EQ(call("GET", "/control/ready"), 200);
--- a/tests/descriptors_test.cpp
+++ b/tests/descriptors_test.cpp
@@ -4,14 +4,14 @@
 
 #include <boost/asio/read.hpp>
 
-#include "membership_fixture.hpp"
+#include "discovery_fixture.hpp"
 
 namespace lockgw {
 namespace {
 
-class DescriptorsTest : public MembershipTest {
+class DescriptorsTest : public DiscoveryTest {
 protected:
-    DescriptorsTest() : MembershipTest(3) { node.config()["limits"]["disk_mb"] = 8; }
+    DescriptorsTest() : DiscoveryTest(3) { node.config()["limits"]["disk_mb"] = 8; }
 
     void limit(rlim_t most) {
         const rlimit wanted{most, 4096};
@@ -30,7 +30,7 @@
     }
     /// A client whose connection was closed, for one that came in, hands the same message in again.
     std::string hand_in(const char* kind, int cell, const std::string& body = "BODY") {
-        const std::string id = fresh_id();
+        const std::string id = new_message_id();
         for (int i = 0; i < 100; ++i) {
             if (!client) client.emplace(node.address());
             try {
@@ -77,7 +77,7 @@
         const auto effects = targets.effects_by_id();
         return std::all_of(ids.begin(), ids.end(), [&](const auto& id) { return effects.contains(id); });
     };
-    EXPECT_TRUE(waits_for(all_ran, 2 * kDeadline)) << node.log();  // attempts are spread over 30 s
+    EXPECT_TRUE(eventually(all_ran, 2 * kDeadline)) << node.log();  // attempts are spread over 30 s
     for (const auto& [id, count] : targets.effects_by_id()) EXPECT_EQ(count, 1) << id;
     EXPECT_TRUE(directory.notices().empty()) << node.log();
 }
@@ -105,7 +105,7 @@
     hand_in("safe", 7);
     leave_none();
     Client waiting(node.address());
-    const std::string id = fresh_id();
+    const std::string id = new_message_id();
     waiting.send(rig::command({"ENQUEUE", "0000000000000000", id, "c=safe,t=acme,d=30000,k=x,dest=7", "B"}));
     limit(256);
     EXPECT_EQ(waiting.line(), "+OK") << node.log();
@@ -142,14 +142,14 @@
         {rig::ListFault::Kind::Freeze, 0, kDown});  // the call that waits takes it with the change
     const auto down_until = std::chrono::steady_clock::now() + kDown;
     directory.put(member("s-1", 0, 7, "terminating"));
-    ASSERT_TRUE(waits_for([&] { return directory.faults_left() == 0; }));
+    ASSERT_TRUE(eventually([&] { return directory.faults_left() == 0; }));
     leave_none();
 
     std::vector<std::string> ids;
     const std::string body(60'000, 'b');
     for (int i = 0; i < 400 && journal_file() == before; ++i) ids.push_back(hand_in("safe", 8, body));
     EXPECT_NE(journal_file(), before) << "the journal is not written anew\n" << node.log();
-    EXPECT_TRUE(waits_for([&] { return targets.effects_by_id().contains(ids.back()); })) << node.log();
+    EXPECT_TRUE(eventually([&] { return targets.effects_by_id().contains(ids.back()); })) << node.log();
     EXPECT_EQ(ordered(console, "targets/s-2/offline"), "HTTP/1.1 200") << node.log();
     EXPECT_EQ(ordered(console, "targets/s-2/online"), "HTTP/1.1 200") << node.log();
 
@@ -159,7 +159,7 @@
     Client late(node.address());
     EXPECT_EQ(late.ask({"PING"}), "+PONG") << node.log();
     const std::string last = hand_in("safe", 8);
-    EXPECT_TRUE(waits_for([&] { return targets.effects_by_id().contains(last); })) << node.log();
+    EXPECT_TRUE(eventually([&] { return targets.effects_by_id().contains(last); })) << node.log();
 }
 
 }  // namespace
--- a/tests/operator_test.cpp
+++ b/tests/operator_test.cpp
@@ -9,15 +9,15 @@
 
 #include "control/client.hpp"
 #include "control/protocol.hpp"
-#include "membership_fixture.hpp"
+#include "discovery_fixture.hpp"
 #include "program/load.hpp"
 
 namespace lockgw {
 namespace {
 
-class OperatorTest : public MembershipTest {
+class OperatorTest : public DiscoveryTest {
 protected:
-    OperatorTest() : MembershipTest(4) {}
+    OperatorTest() : DiscoveryTest(4) {}
     static std::string destination(const char* more = "") {
         return std::string("[[destination]]\nname = \"lab\"\nnumber = 7\n") +
                "[[destination.endpoint]]\nname = \"a\"\nid = \"s-1\"\n[[destination.endpoint]]\nname = "
@@ -37,7 +37,8 @@
     std::set<std::size_t> went(const std::string& kind, int count = 24) {
         const std::size_t before = targets.calls().size();
         Client client = node.client();
-        for (int i = 0; i < count; ++i) EXPECT_EQ(enqueue(client, fresh_id(), kind), "+OK") << node.log();
+        for (int i = 0; i < count; ++i)
+            EXPECT_EQ(enqueue(client, new_message_id(), kind), "+OK") << node.log();
         EXPECT_TRUE(targets.wait_calls(before + static_cast<std::size_t>(count), kDeadline)) << node.log();
         std::set<std::size_t> all;
         const auto calls = targets.calls();
@@ -92,7 +93,7 @@
     with_file(destination() + only_c);
     start_with({member("s-1", 0), member("s-2", 1)});  // c is not listed
     Client client = node.client();
-    ASSERT_EQ(enqueue(client, fresh_id()), "+OK");
+    ASSERT_EQ(enqueue(client, new_message_id()), "+OK");
     std::this_thread::sleep_for(300ms);
     EXPECT_TRUE(targets.calls().empty());
     EXPECT_EQ(control::ask(socket(), "status").at("held"), 1);
@@ -108,10 +109,10 @@
     targets.usual(0, hang);
     start_with({member("s-1", 0)});
     Client client = node.client();
-    ASSERT_EQ(enqueue(client, fresh_id()), "+OK");
+    ASSERT_EQ(enqueue(client, new_message_id()), "+OK");
     write(destination("[[route]]\nname = \"closed\"\ndestination = \"lab\"\nrefuse = true\n"));
     control::ask(socket(), "reload");
-    EXPECT_EQ(enqueue(client, fresh_id()), "-ERR refused by route \"closed\"");
+    EXPECT_EQ(enqueue(client, new_message_id()), "-ERR refused by route \"closed\"");
     EXPECT_EQ(control::ask(socket(), "status").at("held"), 1);
 }
 
@@ -155,7 +156,7 @@
     load.join();
     EXPECT_FALSE(taken.empty());
     // Each has its one end: on a busy machine some are given up, and their clients hear so.
-    EXPECT_TRUE(waits_for([&] {
+    EXPECT_TRUE(eventually([&] {
         const auto effects = targets.effects_by_id();
         return std::all_of(taken.begin(), taken.end(),
             [&](const auto& id) { return effects.contains(id) || directory.notices_of(id) > 0; });
@@ -188,14 +189,14 @@
     targets.usual(0, hang);
     start_with({member("s-1", 0)});
     Client client = node.client();
-    const std::string id = fresh_id();
+    const std::string id = new_message_id();
     ASSERT_EQ(enqueue(client, id, "unsafe"), "+OK");
     ASSERT_TRUE(targets.wait_calls(1, kDeadline));
     node.kill();
     node.wait();
     node.config()["settings"]["classes"].erase(2);
     node.start_ready();
-    EXPECT_TRUE(waits_for([&] { return directory.notices_of(id) > 0; })) << node.log();
+    EXPECT_TRUE(eventually([&] { return directory.notices_of(id) > 0; })) << node.log();
     node.terminate();
     node.wait();
     EXPECT_EQ(targets.calls().size(), 1u);
@@ -231,8 +232,8 @@
     targets.usual(0, hang);
     start_with({member("s-1", 0)});
     Client silent(node.address()), client = node.client();
-    ASSERT_EQ(enqueue(client, fresh_id()), "+OK");
-    EXPECT_EQ(enqueue(client, fresh_id()).substr(0, 5), "-BUSY");  // NODE_CONFIG has room for 40
+    ASSERT_EQ(enqueue(client, new_message_id()), "+OK");
+    EXPECT_EQ(enqueue(client, new_message_id()).substr(0, 5), "-BUSY");  // NODE_CONFIG has room for 40
     std::this_thread::sleep_for(4s);
     EXPECT_EQ(silent.ask({"PING"}), "+PONG");
 }
@@ -296,7 +297,7 @@
     }
     EXPECT_EQ(went("safe", 8).empty(), false);
     many.clear();
-    ASSERT_TRUE(waits_for([&] {
+    ASSERT_TRUE(eventually([&] {
         try {
             return control::ask(socket(), "status").at("control_connections") <= 8;
         } catch (const std::exception&) {
@@ -331,7 +332,8 @@
     ASSERT_EQ(::stat((node.folder() / "made").c_str(), &folder), 0) << node.log();
     EXPECT_EQ(folder.st_mode & 0777, 0700u);
     Client client = node.client();
-    EXPECT_EQ(client.ask({"ENQUEUE", "0", fresh_id(), "c=order-submit,t=shop-supply,d=9000,k=1,dest=3", "B"}),
+    EXPECT_EQ(
+        client.ask({"ENQUEUE", "0", new_message_id(), "c=order-submit,t=shop-supply,d=9000,k=1,dest=3", "B"}),
         "+OK");
     EXPECT_TRUE(targets.wait_calls(1, kDeadline)) << node.log();
 }
--- a/tests/return_test.cpp
+++ b/tests/return_test.cpp
@@ -8,7 +8,7 @@
 #include <random>
 
 #include "control/client.hpp"
-#include "membership_fixture.hpp"
+#include "discovery_fixture.hpp"
 #include "recovery/snapshot.hpp"
 
 namespace lockgw {
@@ -17,9 +17,9 @@
 using rig::CallScript;
 namespace fs = std::filesystem;
 
-class ReturnTest : public MembershipTest {
+class ReturnTest : public DiscoveryTest {
 protected:
-    explicit ReturnTest(std::size_t count = 3) : MembershipTest(count) {
+    explicit ReturnTest(std::size_t count = 3) : DiscoveryTest(count) {
         std::ofstream(node.folder() / "operator.toml") << "[log]\nlevel = \"info\"\n";
         node.set_environment("LOCKGW_CONFIG", (node.folder() / "operator.toml").string());
     }
@@ -39,7 +39,7 @@
     }
     /// Written since, so that what was learned before stands in it.
     bool snapshot_after(const std::function<bool(const recovery::Snapshot&)>& holds) {
-        return waits_for([&] {
+        return eventually([&] {
             const auto read = recovery::snapshot_of(bytes(node.state() / "learned"));
             return read.snapshot && holds(*read.snapshot);
         });
@@ -75,11 +75,11 @@
     for (int round = 0; round < rounds; ++round) {
         const std::size_t before = targets.calls().size();
         Client client = node.client();
-        ASSERT_EQ(enqueue(client, fresh_id(), "safe", 7, 4'000), "+OK");
+        ASSERT_EQ(enqueue(client, new_message_id(), "safe", 7, 4'000), "+OK");
         ASSERT_TRUE(targets.wait_calls(before + 1, kDeadline)) << node.log();
         std::this_thread::sleep_for(kRead + std::chrono::milliseconds(random() % 400));
         restart();
-        waits_for([&] { return told().at("believed").at("waits") > 0; }, 100ms);  // with the list
+        eventually([&] { return told().at("believed").at("waits") > 0; }, 100ms);  // with the list
         held += told().at("believed").at("waits").get<std::size_t>();
     }
     EXPECT_EQ(broken(kWait), 0u) << "seed " << seed << '\n' << node.log();
@@ -97,7 +97,7 @@
     targets.usual(0, hang);
     start_with({member("s-0", 0)});
     Client client = node.client();
-    for (int i = 0; i < 30; ++i) ASSERT_EQ(enqueue(client, fresh_id(), "safe", 7, 60'000), "+OK");
+    for (int i = 0; i < 30; ++i) ASSERT_EQ(enqueue(client, new_message_id(), "safe", 7, 60'000), "+OK");
     kill();
     const std::size_t before = targets.calls().size();
     CallScript slow;
@@ -107,9 +107,9 @@
     ASSERT_TRUE(targets.wait_calls(before + 1, kDeadline)) << node.log();
     std::this_thread::sleep_for(60ms);  // none is answered yet
     EXPECT_LE(targets.calls().size(), before + 2) << "half of the slots and more would go at once";
-    ASSERT_TRUE(waits_for([&] { return targets.effects_by_id().size() == 30; }))
+    ASSERT_TRUE(eventually([&] { return targets.effects_by_id().size() == 30; }))
         << node.log() << told().dump(1);
-    EXPECT_TRUE(waits_for([&] { return told().at("phase") == "full"; })) << told().dump(1);
+    EXPECT_TRUE(eventually([&] { return told().at("phase") == "full"; })) << told().dump(1);
     EXPECT_EQ(told().at("owed").at("all"), 30);
     EXPECT_FALSE(told().at("full_after_ms").is_null());
 }
@@ -121,7 +121,7 @@
     start_with({member("s-0", 0)});
     {
         Client client = node.client();
-        for (int i = 0; i < 35; ++i) ASSERT_EQ(enqueue(client, fresh_id(), "safe", 7, 60'000), "+OK");
+        for (int i = 0; i < 35; ++i) ASSERT_EQ(enqueue(client, new_message_id(), "safe", 7, 60'000), "+OK");
     }
     kill();
     CallScript slow;
@@ -130,9 +130,9 @@
     const std::size_t before = targets.calls().size();
     node.start_ready();
     Client client = node.client();
-    const std::string fresh = fresh_id();
+    const std::string fresh = new_message_id();
     ASSERT_EQ(enqueue(client, fresh, "safe", 7, 60'000), "+OK");
-    ASSERT_TRUE(waits_for([&] { return targets.effects_by_id().contains(fresh); })) << node.log();
+    ASSERT_TRUE(eventually([&] { return targets.effects_by_id().contains(fresh); })) << node.log();
     EXPECT_LE(targets.calls().size(), before + 12) << "it went after most of the backlog";
 }
 
@@ -143,8 +143,8 @@
     targets.usual(0, bad);
     start_with({member("s-0", 0), member("s-1", 1)});
     Client client = node.client();
-    for (int i = 0; i < 12; ++i) ASSERT_EQ(enqueue(client, fresh_id()), "+OK");
-    ASSERT_TRUE(waits_for([&] { return targets.effects_by_id().size() == 12; })) << node.log();
+    for (int i = 0; i < 12; ++i) ASSERT_EQ(enqueue(client, new_message_id()), "+OK");
+    ASSERT_TRUE(eventually([&] { return targets.effects_by_id().size() == 12; })) << node.log();
     ASSERT_TRUE(snapshot_after([](const auto& one) {
         return std::any_of(
             one.targets.begin(), one.targets.end(), [](const auto& t) { return t.outage.has_value(); });
@@ -157,8 +157,8 @@
     };
     const auto before = to_bad();
     Client fresh = node.client();
-    for (int i = 0; i < 20; ++i) ASSERT_EQ(enqueue(fresh, fresh_id()), "+OK");
-    ASSERT_TRUE(waits_for([&] { return targets.effects_by_id().size() == 32; })) << node.log();
+    for (int i = 0; i < 20; ++i) ASSERT_EQ(enqueue(fresh, new_message_id()), "+OK");
+    ASSERT_TRUE(eventually([&] { return targets.effects_by_id().size() == 32; })) << node.log();
     EXPECT_LE(to_bad() - before, 2) << node.log();
 }
 
@@ -170,7 +170,7 @@
     targets.usual(0, hang);
     start_with({member("s-0", 0)});
     Client client = node.client();
-    for (int i = 0; i < 5; ++i) ASSERT_EQ(enqueue(client, fresh_id()), "+OK");
+    for (int i = 0; i < 5; ++i) ASSERT_EQ(enqueue(client, new_message_id()), "+OK");
     ASSERT_TRUE(snapshot_after([](const auto& one) { return one.held == 5; }));
     kill();
     fs::remove(node.state() / "journal");
@@ -181,7 +181,7 @@
 TEST_F(ReturnTest, ATornOrStrangeSnapshotIsNotRead) {
     start_with({member("s-0", 0)});
     Client client = node.client();
-    ASSERT_EQ(enqueue(client, fresh_id()), "+OK");
+    ASSERT_EQ(enqueue(client, new_message_id()), "+OK");
     ASSERT_TRUE(snapshot_after([](const auto&) { return true; }));
     kill();
     const std::string whole = bytes(node.state() / "learned");
@@ -193,9 +193,9 @@
         node.start_ready();
         EXPECT_EQ(told().at("believed").at("facts"), 0);
         Client again = node.client();
-        ASSERT_EQ(enqueue(again, fresh_id()), "+OK");
+        ASSERT_EQ(enqueue(again, new_message_id()), "+OK");
         ++served;
-        ASSERT_TRUE(waits_for([&] { return targets.effects_by_id().size() == std::size_t(served); }))
+        ASSERT_TRUE(eventually([&] { return targets.effects_by_id().size() == std::size_t(served); }))
             << node.log();
         kill();
     }
@@ -206,10 +206,10 @@
     fs::create_directories(node.state() / "learned.new" / "in the way");
     start_with({member("s-0", 0)});
     Client client = node.client();
-    ASSERT_EQ(enqueue(client, fresh_id()), "+OK");
-    ASSERT_TRUE(waits_for([&] { return told().at("snapshots").at("failed") > 0; })) << told().dump(1);
-    ASSERT_EQ(enqueue(client, fresh_id()), "+OK");
-    EXPECT_TRUE(waits_for([&] { return targets.effects_by_id().size() == 2; })) << node.log();
+    ASSERT_EQ(enqueue(client, new_message_id()), "+OK");
+    ASSERT_TRUE(eventually([&] { return told().at("snapshots").at("failed") > 0; })) << told().dump(1);
+    ASSERT_EQ(enqueue(client, new_message_id()), "+OK");
+    EXPECT_TRUE(eventually([&] { return targets.effects_by_id().size() == 2; })) << node.log();
 }
 // Off by the operator's file: nothing is written, and what is owed goes at once, as before.
 TEST_F(ReturnTest, OffMeansAsBefore) {
@@ -219,7 +219,7 @@
     targets.usual(0, hang);
     start_with({member("s-0", 0)});
     Client client = node.client();
-    for (int i = 0; i < 6; ++i) ASSERT_EQ(enqueue(client, fresh_id(), "safe", 7, 60'000), "+OK");
+    for (int i = 0; i < 6; ++i) ASSERT_EQ(enqueue(client, new_message_id(), "safe", 7, 60'000), "+OK");
     kill();
     const std::size_t before = targets.calls().size();
     targets.usual(0, {});
@@ -231,7 +231,7 @@
 
 // ---- peers: three that watch one another ----
 
-class ReturnOfOneTest : public MembershipTest {
+class ReturnOfOneTest : public DiscoveryTest {
 protected:
     static constexpr std::size_t kMembers = 3;
     ReturnOfOneTest() {
@@ -266,7 +266,7 @@
         return control::ask(nodes[who]->state() / "control", verb, args);
     }
     void wait_all_alive() {
-        ASSERT_TRUE(waits_for([&] {
+        ASSERT_TRUE(eventually([&] {
             for (std::size_t i = 0; i < kMembers; ++i) {
                 const Json told = ask(i, "tier");
                 for (const Json& row : told.at("members"))
@@ -284,7 +284,7 @@
 TEST_F(ReturnOfOneTest, OrdersThatWereLostAreAskedForBeforeTheFirstSend) {
     wait_all_alive();
     for (std::size_t i = 0; i < kMembers; ++i)
-        ASSERT_TRUE(waits_for([&] {
+        ASSERT_TRUE(eventually([&] {
             try {
                 return ask(i, "order", {{"what", "offline"}, {"target", "s-0"}}).contains("done");
             } catch (const control::Refused&) {
@@ -297,7 +297,7 @@
     const std::size_t before = targets.calls().size();
     nodes[2]->start_ready();
     Client client = nodes[2]->client();
-    for (int i = 0; i < 12; ++i) ASSERT_EQ(enqueue(client, fresh_id()), "+OK");
+    for (int i = 0; i < 12; ++i) ASSERT_EQ(enqueue(client, new_message_id()), "+OK");
     ASSERT_TRUE(targets.wait_calls(before + 12, kDeadline)) << nodes[2]->log();
     for (const auto& call : targets.calls()) EXPECT_EQ(call.target, 1u) << nodes[2]->log();
     EXPECT_EQ(ask(2, "status").at("out_by_hand"), Json::array({"s-0"}));
@@ -312,21 +312,21 @@
     refused.status = 429, refused.takes_effect = false, refused.headers = "Retry-After: 0.2\r\n";
     targets.usual(0, refused), targets.usual(1, refused);
     Client client = nodes[2]->client();
-    const std::string id = fresh_id();
+    const std::string id = new_message_id();
     ASSERT_EQ(enqueue(client, id, "keyed", 7, 60'000), "+OK");
-    ASSERT_TRUE(waits_for([&] { return fs::exists(nodes[2]->state() / "learned"); }));
+    ASSERT_TRUE(eventually([&] { return fs::exists(nodes[2]->state() / "learned"); }));
     std::this_thread::sleep_for(400ms);  // a snapshot that is as old as the copy
     const fs::path copy = nodes[2]->folder() / "copy";
     rig::copy_files(nodes[2]->state(), copy);
     targets.usual(0, {}), targets.usual(1, {});
-    ASSERT_TRUE(waits_for([&] { return targets.effects_by_id().contains(id); })) << nodes[2]->log();
+    ASSERT_TRUE(eventually([&] { return targets.effects_by_id().contains(id); })) << nodes[2]->log();
     std::this_thread::sleep_for(
         16s);  // the copy lacks more than kLacking, and its mark may be 5 s old itself
     nodes[2]->kill(), nodes[2]->wait();
     fs::remove_all(nodes[2]->state());
     fs::rename(copy, nodes[2]->state());
     nodes[2]->start_ready();
-    ASSERT_TRUE(waits_for([&] { return ask(2, "return").at("phase") == "full"; })) << nodes[2]->log();
+    ASSERT_TRUE(eventually([&] { return ask(2, "return").at("phase") == "full"; })) << nodes[2]->log();
     EXPECT_FALSE(ask(2, "return").at("lost").at("folder_older_ms").is_null()) << nodes[2]->log();
     EXPECT_EQ(targets.effects_by_id().at(id), 1) << nodes[2]->log();
 }
--- a/tests/rig_server_test.cpp
+++ b/tests/rig_server_test.cpp
@@ -3,7 +3,7 @@
 
 #include <boost/asio/read_until.hpp>
 
-#include "membership_fixture.hpp"
+#include "discovery_fixture.hpp"
 
 namespace lockgw {
 namespace {
--- a/tests/routes_property_test.cpp
+++ b/tests/routes_property_test.cpp
@@ -5,7 +5,7 @@
 #include <random>
 
 #include "control/client.hpp"
-#include "membership_fixture.hpp"
+#include "discovery_fixture.hpp"
 #include "program/load.hpp"
 
 namespace lockgw {
@@ -13,9 +13,9 @@
 
 constexpr int kDestinations = 6, kEach = 4, kRounds = 12;
 
-class RoutesProperty : public MembershipTest {
+class RoutesProperty : public DiscoveryTest {
 protected:
-    RoutesProperty() : MembershipTest(kDestinations * kEach) {
+    RoutesProperty() : DiscoveryTest(kDestinations * kEach) {
         node.config()["settings"]["tenants"] = {{{"name", "acme"}}, {{"name", "umbra"}}};
         node.config()["settings"]["kinds"] = {"shop", "lab"};
     }
@@ -81,7 +81,7 @@
         std::ofstream(path) << text;
     }
     std::string ask(Client& client, const routes::Query& query) {
-        const std::string id = fresh_id();
+        const std::string id = new_message_id();
         return client.ask({"ENQUEUE", "0000000000000000", id,
             "c=" + query.message_class + ",t=" + query.tenant + ",d=30000,k=" + id +
                 ",dest=" + std::to_string(query.destination),
@@ -119,7 +119,7 @@
                     }
                     ASSERT_EQ(answer, "+OK") << file;
                     char id[17];
-                    std::snprintf(id, sizeof id, "%016x", last_id());
+                    std::snprintf(id, sizeof id, "%016x", last_message_number());
                     std::set<std::size_t> allowed;
                     for (const std::string& endpoint : resolution.endpoints)
                         allowed.insert(std::stoul(endpoint.substr(2)));
--- a/tests/shutdown_crossing_test.cpp
+++ b/tests/shutdown_crossing_test.cpp
@@ -1,7 +1,7 @@
 // Events that cross a shutdown (docs/crossing-events.md, 1): what is read is answered, nobody is brought
 // back, and a second order changes nothing.
+#include "discovery_fixture.hpp"
 #include "handover/lock_files.hpp"
-#include "membership_fixture.hpp"
 #include "shutdown_fixture.hpp"
 
 namespace lockgw {
@@ -117,7 +117,7 @@
 }
 
 // A target that drains after SIGTERM gets nothing from what clients still hand in.
-class WatchedShutdown : public MembershipTest {};
+class WatchedShutdown : public DiscoveryTest {};
 TEST_F(WatchedShutdown, DiscoveryIsFollowedToTheEnd) {
     node.config()["settings"]["n_instances"] = 2;
     start_with({member("s-0", 0), member("s-1", 1)});
@@ -127,7 +127,7 @@
     Client late = node.client();  // the front goes on dealing out connections for a moment
     std::string together;
     constexpr std::size_t kMessages = 12;
-    for (std::size_t i = 0; i < kMessages; ++i) together += message(fresh_id());
+    for (std::size_t i = 0; i < kMessages; ++i) together += message(new_message_id());
     late.send(together);
     for (std::size_t i = 0; i < kMessages; ++i) ASSERT_EQ(late.line(), "+OK") << node.log();
     ASSERT_TRUE(targets.wait_calls(kMessages, kDeadline)) << node.log();
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -4,7 +4,7 @@
 #include <cstdlib>
 #include <random>
 
-#include "membership_fixture.hpp"
+#include "discovery_fixture.hpp"
 
 namespace lockgw {
 namespace {
@@ -12,7 +12,7 @@
 using Clock = std::chrono::steady_clock;
 using rig::CallScript;
 
-class UpgradeTest : public MembershipTest {
+class UpgradeTest : public DiscoveryTest {
 protected:
     UpgradeTest() {
         node.config()["settings"]["limits"]["most_held"] = 4000;
--- a/tests/window_test.cpp
+++ b/tests/window_test.cpp
@@ -6,7 +6,7 @@
 #include <set>
 
 #include "core/clocks.hpp"
-#include "membership_fixture.hpp"
+#include "discovery_fixture.hpp"
 #include "store/journal.hpp"
 
 namespace lockgw {
@@ -16,7 +16,7 @@
 
 constexpr auto kWindow = 4000ms;  // of the class "keyed", from the first call that may have run
 
-class WindowTest : public MembershipTest {
+class WindowTest : public DiscoveryTest {
 protected:
     WindowTest() { node.config()["settings"]["limits"]["connect_timeout_ms"] = 6000; }
 
@@ -48,10 +48,10 @@
     start_with(members);
     Client client = node.client();
     for (std::size_t i = 0; i < kTargets; ++i)
-        ASSERT_EQ(enqueue(client, fresh_id(), "keyed", 7 + static_cast<int>(i), 16'000), "+OK");
+        ASSERT_EQ(enqueue(client, new_message_id(), "keyed", 7 + static_cast<int>(i), 16'000), "+OK");
     ASSERT_TRUE(targets.wait_calls(kTargets, kDeadline));
     for (std::size_t i = 0; i < kTargets; ++i) targets.freeze(i, kWindow + 200ms);
-    ASSERT_TRUE(waits_for([&] { return directory.notices().size() >= kTargets; })) << node.log();
+    ASSERT_TRUE(eventually([&] { return directory.notices().size() >= kTargets; })) << node.log();
     std::this_thread::sleep_for(1500ms);  // what is out by mistake arrives
     EXPECT_EQ(too_late(), 0u) << node.log();
     EXPECT_EQ(targets.calls().size(), kTargets) << node.log();
@@ -94,7 +94,7 @@
     leave(4, "safe", apart(60s, -1h), {});               // set forward: seems to be out of time
     start_with({member("s-0", 0)});
     ASSERT_TRUE(targets.wait_calls(2, kDeadline)) << node.log();
-    ASSERT_TRUE(waits_for([&] { return directory.notices().size() >= 2; })) << node.log();
+    ASSERT_TRUE(eventually([&] { return directory.notices().size() >= 2; })) << node.log();
     EXPECT_EQ(keys_called(), (std::set<std::string>{"2", "4"}));
 }
 
@@ -104,7 +104,7 @@
     ++other_boot.boot;
     leave(1, "keyed", apart(60s, 60s), other_boot);
     start_with({member("s-0", 0)});
-    ASSERT_TRUE(waits_for([&] { return !directory.notices().empty(); })) << node.log();
+    ASSERT_TRUE(eventually([&] { return !directory.notices().empty(); })) << node.log();
     EXPECT_EQ(targets.calls().size(), 0u) << node.log();
 }
 
--- a/tests/work_program_test.cpp
+++ b/tests/work_program_test.cpp
@@ -6,17 +6,17 @@
 #include <fstream>
 
 #include "control/client.hpp"
-#include "membership_fixture.hpp"
+#include "discovery_fixture.hpp"
 #include "program/commands.hpp"
 
 namespace lockgw {
 namespace {
 
-class WorkProgramTest : public MembershipTest {
+class WorkProgramTest : public DiscoveryTest {
 protected:
     static constexpr std::size_t kMembers = 3;
 
-    WorkProgramTest() : MembershipTest(3) {
+    WorkProgramTest() : DiscoveryTest(3) {
         boost::asio::io_context io;
         std::vector<boost::asio::ip::udp::socket> taken;  // given back together: the forwarders bind them
         std::vector<std::string> peers;
@@ -84,7 +84,7 @@
     }
     void send(std::size_t by, int count) {
         Client client(nodes[by]->address());
-        for (int i = 0; i < count; ++i) ASSERT_EQ(enqueue(client, fresh_id()), "+OK");
+        for (int i = 0; i < count; ++i) ASSERT_EQ(enqueue(client, new_message_id()), "+OK");
     }
     std::vector<std::unique_ptr<Node>> nodes;
 };
