--- a/src/capture/memory.cpp
+++ b/src/capture/memory.cpp
@@ -50,12 +50,17 @@
 /// What is neither set by the settings nor found anew. Actions are empty between decisions.
 template <class Archive>
 void describe(Archive& a, State& s) {
-    a(s.settings_)(s.random_)(s.destinations_)(s.by_share_)(s.well_)(s.sick_idle_)(s.sick_busy_);
-    a(s.share_shift_)(s.by_held_)(s.unnamed_)(s.ends_)(s.pauses_)(s.rests_)(s.stale_lines_)(s.dues_);
-    a(s.doubts_)(s.looked_at_)(s.sick_calls_)(s.watch_tries_)(s.endpoints_)(s.messages_)(s.keys_);
-    a(s.attempts_)(s.calls_)(s.quota_tags_)(s.unconnected_)(s.freed_)(s.routes_)(s.gone_)(s.arrivals_);
-    a(s.call_count_)(s.overall_usual_)(s.reserved_)(s.watch_at_)(s.timer_at_)(s.tidy_at_)(s.limits_)(
-        s.tell_at_)(s.own_)(s.by_name_);
+    a(s.settings_)(s.random_)(s.destinations_)(s.by_share_tag_)(s.healthy_order_)(s.unhealthy_idle_order_)(
+        s.unhealthy_busy_order_);
+    a(s.share_tag_offset_)(s.by_held_count_)(s.unlisted_destinations_)(s.expiry_queue_)(s.backoff_queue_)(
+        s.key_pause_queue_)(s.key_cleanup_queue_)(s.destination_due_queue_);
+    a(s.doubtful_counts_)(s.shed_scan_cursor_)(s.unhealthy_calls_)(s.watch_failures_)(s.endpoints_)(
+        s.messages_)(s.key_queues_);
+    a(s.attempts_)(s.calls_)(s.quota_tags_)(s.connect_refused_at_)(s.freed_endpoints_)(s.route_endpoints_)(
+        s.unlisted_endpoints_)(s.arrival_count_);
+    a(s.call_count_)(s.overall_latency_s_)(s.picked_by_reservation_)(s.next_watch_at_)(s.timer_at_)(
+        s.next_cleanup_at_)(s.reported_limits_)(s.next_gossip_at_)(s.tie_break_seed_)(
+        s.endpoint_by_limit_key_);
 }
 
 }  // namespace cometspoke::policy
@@ -95,7 +100,9 @@
 using cometspoke::policy::Order;
 using cometspoke::policy::State;
 
-std::array<Order*, 3> orders_of(State& state) { return {&state.well_, &state.sick_idle_, &state.sick_busy_}; }
+std::array<Order*, 3> orders_of(State& state) {
+    return {&state.healthy_order_, &state.unhealthy_idle_order_, &state.unhealthy_busy_order_};
+}
 
 /// The orders in which destinations stand, by their numbers.
 std::map<DestinationId, int> placed(State& state) {
@@ -118,8 +125,8 @@
     for (auto& [id, endpoint] : state.endpoints_)
         endpoint.home = &state.destinations_.at(endpoint.destination);
     for (auto& [id, call] : state.calls_) call.at = &state.endpoints_.at(call.endpoint);
-    state.active_.clear();
-    for (const DestinationId id : active) state.active_.emplace(id, &state.destinations_.at(id));
+    state.active_destinations_.clear();
+    for (const DestinationId id : active) state.active_destinations_.emplace(id, &state.destinations_.at(id));
 }
 
 }  // namespace
@@ -130,7 +137,7 @@
     Out out(buffer);
     auto places = placed(state);
     std::set<DestinationId> active;
-    for (const auto& [id, destination] : state.active_) active.insert(id);
+    for (const auto& [id, destination] : state.active_destinations_) active.insert(id);
     out.packer().pack_array(3);
     out(state)(places)(active);
     return {buffer.data(), buffer.size()};
--- a/src/capture/story.cpp
+++ b/src/capture/story.cpp
@@ -227,7 +227,8 @@
     if (message.out > 0) return "it is out";
     std::vector<std::string> why;
     if (message.not_before > now) why.push_back("it rests after an attempt that failed");
-    if (message.attempts >= state.terms(message).max_attempts) why.push_back("all its attempts are used up");
+    if (message.attempts >= state.class_settings(message).max_attempts)
+        why.push_back("all its attempts are used up");
     const auto home = state.destinations_.find(message.destination);
     if (home == state.destinations_.end() || home->second.endpoints.empty()) {
         why.push_back("its destination has no endpoint");
@@ -239,7 +240,7 @@
         hindered.empty() ? void(++open) : why.push_back(name_of(endpoint) + ": " + joined(hindered));
     }
     if (state.calls_.size() >= state.settings_.slots) why.push_back("all slots are taken");
-    const double cap = policy::kCapShare * static_cast<double>(state.settings_.slots);
+    const double cap = policy::kMaxDestinationSlotShare * static_cast<double>(state.settings_.slots);
     if (home->second.in_flight > 0 && home->second.in_flight + 1 >= cap)
         why.push_back("its destination has its share of the slots");
     const auto& held = home->second.held;
--- a/src/core/forwarder_work.cpp
+++ b/src/core/forwarder_work.cpp
@@ -81,7 +81,7 @@
     const auto home = sender_.state().destinations_.find(destination);
     if (home == sender_.state().destinations_.end()) return 0;
     double used = 0;
-    for (const auto& report : sender_.state().limits_.all())
+    for (const auto& report : sender_.state().reported_limits_.all())
         if (report.destination == destination && steady_now() - report.observed_at < std::chrono::seconds(10))
             used = std::max(used, 1 - report.remaining);
     return std::clamp(used, 0.0, 1.0);
--- a/src/core/recovery_coordinator.cpp
+++ b/src/core/recovery_coordinator.cpp
@@ -115,8 +115,8 @@
                 home != state.destinations_.end() && !home->second.endpoints.empty())
                 at = *home->second.endpoints.begin();
         const auto endpoint = at ? state.endpoints_.find(*at) : state.endpoints_.end();
-        const bool may =
-            endpoint != state.endpoints_.end() && (number != to.end() || !state.apart(endpoint->second));
+        const bool may = endpoint != state.endpoints_.end() &&
+                         (number != to.end() || !state.has_own_route(endpoint->second));
         if (may && wait->second > now) {
             event.endpoints.push_back({*at, endpoint->second.destination, wait->second, {}, {}});
             ++waits_held_;
@@ -234,7 +234,7 @@
     for (const std::string& bytes : sections_of(answer, notes::room_beside(notes::kHeadBytes)))
         parts_.tier.say(from, notes::Kind::Answer, bytes);
     // and what it knows of limits, in the form that the module reads
-    const auto reports = parts_.sender.state().limits_.all();
+    const auto reports = parts_.sender.state().reported_limits_.all();
     for (std::size_t at = 0; at < reports.size(); at += rate_limits::kMaxReports) {
         const auto last = std::min(reports.size(), at + rate_limits::kMaxReports);
         parts_.tier.say(from, notes::Kind::Limits,
--- a/src/handover/knowledge.cpp
+++ b/src/handover/knowledge.cpp
@@ -95,10 +95,11 @@
             if (home != old.destinations_.end() && done.insert(home->first).second)
                 copy(home->second, *target->second.home);
         }
-        state.overall_usual_ = old.overall_usual_;
-        state.limits_ = old.limits_;
+        state.overall_latency_s_ = old.overall_latency_s_;
+        state.reported_limits_ = old.reported_limits_;
         if (old.quota_tags_.size() == state.quota_tags_.size()) state.quota_tags_ = old.quota_tags_;
-        if (old.unconnected_.size() == state.unconnected_.size()) state.unconnected_ = old.unconnected_;
+        if (old.connect_refused_at_.size() == state.connect_refused_at_.size())
+            state.connect_refused_at_ = old.connect_refused_at_;
     } catch (const std::exception& bad) {
         log::warn("handover", "only the waits are taken over", {{"why", bad.what()}});
     }
--- a/src/policy/health.hpp
+++ b/src/policy/endpoint_health.hpp
@@ -2,12 +2,12 @@
 #pragma once
 
 #include "base/warming.hpp"
-#include "policy/tags.hpp"
+#include "policy/mclock_tags.hpp"
 
 namespace cometspoke::policy {
 
-struct Learning : Tags {
-    using Tags::Tags;
+struct EndpointHealth : MclockTags {
+    using MclockTags::MclockTags;
 
     void learn(
         const Call& call, Outcome outcome, const std::optional<LoadReport>& report, Time rtt, Time now) {
@@ -17,9 +17,9 @@
         Route& route = route_of(endpoint);
         if (report && report->limit > 0) {
             route.known = route.heard = report->limit, route.left = report->left;
-            if (apart(endpoint)) endpoint.home->told = report->limit;
-            if (tells() && (!apart(endpoint) || endpoint.known_as != 0)) {
-                limits_.merge({told_as(endpoint), report->limit, report->left, now});
+            if (has_own_route(endpoint)) endpoint.home->told = report->limit;
+            if (tells() && (!has_own_route(endpoint) || endpoint.known_as != 0)) {
+                reported_limits_.merge({limit_key(endpoint), report->limit, report->left, now});
                 retag(route, *endpoint.home);
             }
         }
@@ -37,7 +37,7 @@
         const bool no_room = outcome == Outcome::NoConnection && now - sent < kSlowConnect;
         // one may be lost on the way; with none made between them they are turned away for their number
         const bool again = no_room && endpoint.unconnected_at > endpoint.last_good;
-        if (again && endpoint.health == Health::Well) unconnected_[endpoint.kind] = now;
+        if (again && endpoint.health == Health::Well) connect_refused_at_[endpoint.kind] = now;
         if (no_room) endpoint.unconnected_at = now;
         // calls that broke off, then refused connects: the process died. One of each is the network's noise.
         const bool died = again && endpoint.lost_at > endpoint.last_good;
@@ -55,7 +55,7 @@
             for (const EndpointId other : endpoint.home->endpoints)
                 if (&route_of(endpoints_.at(other)) == &route) fall_sick(endpoints_.at(other), now);
         if (endpoint.health != Health::Returning && endpoint.failing <= kFailTrip) return;
-        if (no_room) unconnected_[endpoint.kind] = kLongAgo;  // it is down: no allowance was used up
+        if (no_room) connect_refused_at_[endpoint.kind] = kLongAgo;  // it is down: no allowance was used up
         fall_sick(endpoint, now);
     }
     // It took the call and answered: no sign of an outage, unless hardly any other answer comes.
@@ -83,16 +83,16 @@
     // From a peer: how fast to go. It sets no wait and frees none, tells nothing of attempts, and is no
     // ground for the budget of a way back; whatever it claims, a call goes soon and brings own news.
     void hear(const lockgw::rate_limits::RateLimitReport& report, Time now) {
-        const auto place = by_name_.find(report.destination);  // of one whose routes are apart
-        Endpoint* endpoint = place == by_name_.end() ? nullptr : &endpoints_.at(place->second);
+        const auto place = endpoint_by_limit_key_.find(report.destination);  // of one whose routes are apart
+        Endpoint* endpoint = place == endpoint_by_limit_key_.end() ? nullptr : &endpoints_.at(place->second);
         const auto found = destinations_.find(endpoint ? endpoint->destination : report.destination);
-        if (found == destinations_.end() || !limits_.merge(report)) return;
+        if (found == destinations_.end() || !reported_limits_.merge(report)) return;
         Route& route = endpoint ? endpoint->own : found->second.shared;
         route.heard = report.limit, route.left = report.remaining;
         const Time latest = std::max(route.limit_tag, now + kLongestNews);
         retag(route, found->second);
         route.limit_tag = std::min(route.limit_tag, latest);
-        touch(found->first, now);
+        reschedule(found->first, now);
     }
     void succeed(EndpointId id, double left, Time rtt, Time now) {
         Endpoint& endpoint = endpoints_.at(id);
@@ -102,7 +102,7 @@
         route.refusals = 0;
         if (rtt > Time(0)) {
             blend_usual(destination.usual, seconds(rtt));
-            blend_usual(overall_usual_, seconds(rtt));
+            blend_usual(overall_latency_s_, seconds(rtt));
         }
         if (destination.last_served != kLongAgo && now > destination.last_served) {
             const double rate = std::min(kRateClip, 1.0 / seconds(now - destination.last_served));
@@ -126,7 +126,7 @@
             endpoint.returned = endpoint.cold_tag = opening;
         }
         spend_budget(endpoint, now);
-        touch(endpoint.destination, now);
+        reschedule(endpoint.destination, now);
     }
     // Silence alone, ended by a success before any failure was seen, was no outage. After one, slow start.
     void recover(Endpoint& endpoint, Time now) {
@@ -142,7 +142,7 @@
     // cold_from after the return, taken as no earlier than the first success or a told opening; before that a
     // trial may meet it at its coldest. Spread, lest senders that saw the same failure come back together.
     void spend_budget(Endpoint& endpoint, Time now) {
-        const std::size_t sharing = apart(endpoint) ? 1 : endpoint.home->endpoints.size();
+        const std::size_t sharing = has_own_route(endpoint) ? 1 : endpoint.home->endpoints.size();
         const double present = capacity(route_of(endpoint), *endpoint.home) / std::max<double>(1, sharing);
         const Time from = std::max(endpoint.cold_tag, now);
         // only senders that called since it went out know of the outage; once it is back no more learn of it
--- a/src/policy/room.hpp
+++ b/src/policy/load_shedding.hpp
@@ -1,12 +1,12 @@
 /// What is turned away: tenants over their quota, and who goes where the room is nearly full.
 #pragma once
 
-#include "policy/messages.hpp"
+#include "policy/message_lifecycle.hpp"
 
 namespace cometspoke::policy {
 
-struct Room : Messages {
-    using Messages::Messages;
+struct LoadShedding : MessageLifecycle {
+    using MessageLifecycle::MessageLifecycle;
 
     // A tenant's own part of its quota, as a tag that may run ahead by kQuotaBurst.
     bool over_quota(std::size_t index, Time now) {
@@ -33,7 +33,7 @@
     };
     std::optional<MessageId> least_of_all(Time now) const {
         Least least;
-        for (const auto& [destination_id, destination] : active_) {
+        for (const auto& [destination_id, destination] : active_destinations_) {
             Time turn = now + stalled(*destination, now);
             for (const auto& [arrival, id] : destination->held)
                 weigh(least, id, turn += gap_of(drain_rate(*destination)));
@@ -43,13 +43,13 @@
     // Where very many are held: both ends of the longest lines, and of some others in turn.
     std::optional<MessageId> least_of_some(Time now) {
         Least least;
-        auto longest = by_held_.rbegin();
-        for (std::size_t i = 0; i < kLookAt && longest != by_held_.rend(); ++i, ++longest)
-            weigh_ends(least, *active_.at(longest->second), now);
-        auto next = active_.upper_bound(looked_at_);
-        for (std::size_t i = 0; i < kLookAt && !active_.empty(); ++i, ++next) {
-            if (next == active_.end()) next = active_.begin();
-            looked_at_ = next->first;
+        auto longest = by_held_count_.rbegin();
+        for (std::size_t i = 0; i < kLookAt && longest != by_held_count_.rend(); ++i, ++longest)
+            weigh_ends(least, *active_destinations_.at(longest->second), now);
+        auto next = active_destinations_.upper_bound(shed_scan_cursor_);
+        for (std::size_t i = 0; i < kLookAt && !active_destinations_.empty(); ++i, ++next) {
+            if (next == active_destinations_.end()) next = active_destinations_.begin();
+            shed_scan_cursor_ = next->first;
             weigh_ends(least, *next->second, now);
         }
         return least.id;
--- a/src/policy/logic.cpp
+++ b/src/policy/logic.cpp
@@ -6,15 +6,15 @@
 #include <stdexcept>
 
 #include "base/checked_settings.hpp"
-#include "policy/turns.hpp"
+#include "policy/scheduler.hpp"
 
 namespace cometspoke {
 
 using namespace policy;
 
-class Sender::Logic : public Turns {
+class Sender::Logic : public Scheduler {
 public:
-    using Turns::Turns;
+    using Scheduler::Scheduler;
 
     void take(const ListEvent& event, Time now) {
         for (const ListEntry& entry : event.entries) {
@@ -23,28 +23,28 @@
         }
         if (event.kind == ListKind::Failed) {
             const double spread = std::uniform_real_distribution<double>(0.5, 1.0)(random_);
-            watch_at_ = now + from_seconds(seconds(kWatchGap) * (1 << watch_tries_) * spread);
-            watch_tries_ = std::min(watch_tries_ + 1, kWatchDoublings);
+            next_watch_at_ = now + from_seconds(seconds(kWatchGap) * (1 << watch_failures_) * spread);
+            watch_failures_ = std::min(watch_failures_ + 1, kWatchDoublings);
             return;
         }
-        if (event.kind != ListKind::Cached) watch_tries_ = 0;
+        if (event.kind != ListKind::Cached) watch_failures_ = 0;
         if (event.kind != ListKind::Changes)
             for (auto& [id, endpoint] : endpoints_) {
                 endpoint.condition = Condition::Gone;
-                endpoint.home->endpoints.erase(id), gone_.insert(id);
-                touch(endpoint.destination, now);
+                endpoint.home->endpoints.erase(id), unlisted_endpoints_.insert(id);
+                reschedule(endpoint.destination, now);
             }
         for (const ListEntry& entry : event.entries) list(entry, now);
     }
     void take(const MessageEvent& event, Time now) {
         if (event.message_class >= settings_.classes.size()) throw std::invalid_argument("message_class");
         if (event.tenant && *event.tenant >= quota_tags_.size()) throw std::invalid_argument("tenant");
-        if (event.route > routes_.size()) throw std::invalid_argument("route");
+        if (event.route > route_endpoints_.size()) throw std::invalid_argument("route");
         if (messages_.contains(event.message)) return;
         const ClassSettings& kind = settings_.classes[event.message_class];
         Message message;
         message.message_class = event.message_class, message.destination = event.destination;
-        message.arrival = ++arrivals_;
+        message.arrival = ++arrival_count_;
         message.born = now + event.left - kind.deadline;
         message.deadline = now + event.left;
         message.over_share = event.tenant && over_quota(*event.tenant, now);
@@ -56,15 +56,17 @@
         }
         if (kind.sequential && event.key) {
             message.key = event.key;
-            keys_[*event.key].turn.push_back(event.message);
+            key_queues_[*event.key].turn.push_back(event.message);
         }
         Destination& destination = destinations_[event.destination];
-        if (destination.named == 0) unnamed_.insert(event.destination);
+        if (destination.named == 0) unlisted_destinations_.insert(event.destination);
         const double age = seconds(now - std::exchange(destination.asked_at, now));
-        destination.asked = (destination.asked * kMemory_s * std::exp(-age / kMemory_s) + 1.0) / kMemory_s;
+        destination.asked =
+            (destination.asked * kArrivalRateMemory_s * std::exp(-age / kArrivalRateMemory_s) + 1.0) /
+            kArrivalRateMemory_s;
         hold(event.destination, destination, event.message, message);
         messages_.emplace(event.message, message);
-        if (active_.emplace(event.destination, &destination).second)
+        if (active_destinations_.emplace(event.destination, &destination).second)
             activate(event.destination, destination, now);
         changed(event.message, now);
         if (message.key) line_changed(*message.key, now);
@@ -89,20 +91,21 @@
             --endpoint.in_flight, --endpoint.home->in_flight;
             const bool lives = event.outcome == Outcome::Served || event.outcome == Outcome::ServerError ||
                                event.outcome == Outcome::TurnedAway;
-            if (lives) endpoint.idle.push_back(now + settings_.conn_idle), freed_.insert(ended.endpoint);
+            if (lives)
+                endpoint.idle.push_back(now + settings_.conn_idle), freed_endpoints_.insert(ended.endpoint);
             calls_.erase(call_id);
         }
         settle(event, ended, now);
-        touch(endpoint.destination, now);
+        reschedule(endpoint.destination, now);
     }
     void take(const AbandonedEvent& event, Time now) { forget(event.message, now); }
     void take(const RoutesEvent& event, Time now) {
-        routes_.clear();
-        for (const auto& only : event.only) routes_.emplace_back(only.begin(), only.end());
-        for (const auto& [id, destination] : active_) touch(id, now);
+        route_endpoints_.clear();
+        for (const auto& only : event.only) route_endpoints_.emplace_back(only.begin(), only.end());
+        for (const auto& [id, destination] : active_destinations_) reschedule(id, now);
     }
     void take(const RerouteEvent& event, Time now) {
-        if (event.route > routes_.size()) throw std::invalid_argument("route");
+        if (event.route > route_endpoints_.size()) throw std::invalid_argument("route");
         if (const auto found = messages_.find(event.message); found != messages_.end())
             found->second.route = event.route, changed(event.message, now);
     }
@@ -116,13 +119,13 @@
                 Endpoint& endpoint = endpoints_.at(part.endpoint);
                 endpoint.weight = part.weight, endpoint.own.sharers = part.sharers;
             }
-        touch(event.destination, now);
+        reschedule(event.destination, now);
     }
     void take(const LearnedEvent& event, Time now) { learn_from(*this, event, now); }
     void take(const SettingsEvent& event, Time) {
         settings_ = checked(event.settings);
         quota_tags_.resize(settings_.tenants.size(), kLongAgo);
-        unconnected_.resize(settings_.kinds.size(), kLongAgo);
+        connect_refused_at_.resize(settings_.kinds.size(), kLongAgo);
     }
     void take(const PeerNote& note, Time now) {
         if (!tells()) return;
@@ -134,11 +137,11 @@
     void take(const Other&, Time) {}
     std::vector<Action> decide(Time now) {
         actions_.clear();
-        if (watch_at_ <= now) actions_.emplace_back(Watch{true}), watch_at_ = kNever;
+        if (next_watch_at_ <= now) actions_.emplace_back(Watch{true}), next_watch_at_ = kNever;
         free_due(now);
         end_overdue(now);
         watch_silence(now);
-        sick_calls_ = sick_calls();
+        unhealthy_calls_ = sick_calls();
         drop_stuck(now);
         keep_room(now);
         while (calls_.size() < settings_.slots && !settings_.paused) {
@@ -147,11 +150,11 @@
             serve(*pick, now);
         }
         close_idle(now);
-        for (auto& note : lockgw::rate_limits::messages_due(
-                 limits_, now, settings_.n_instances, settings_.own_number, random_, tell_at_))
+        for (auto& note : lockgw::rate_limits::messages_due(reported_limits_, now, settings_.n_instances,
+                 settings_.own_number, random_, next_gossip_at_))
             actions_.emplace_back(std::move(note));
         set_timer(now);
-        if (now >= tidy_at_) tidy(now);
+        if (now >= next_cleanup_at_) tidy(now);
         return std::move(actions_);
     }
 
@@ -160,11 +163,12 @@
         Endpoint& endpoint = endpoints_[entry.endpoint];
         name(endpoint, entry.destination);
         const bool gone = entry.condition == Condition::Gone;
-        gone ? void(gone_.insert(entry.endpoint)) : void(gone_.erase(entry.endpoint));
+        gone ? void(unlisted_endpoints_.insert(entry.endpoint))
+             : void(unlisted_endpoints_.erase(entry.endpoint));
         if (endpoint.destination != entry.destination)  // moved with the calls that are out there, or new
             if (const auto old = destinations_.find(endpoint.destination); old != destinations_.end()) {
                 old->second.endpoints.erase(entry.endpoint), old->second.in_flight -= endpoint.in_flight;
-                touch(old->first, now);
+                reschedule(old->first, now);
                 destinations_[entry.destination].in_flight += endpoint.in_flight;
             }
         endpoint.destination = entry.destination;
@@ -173,60 +177,63 @@
         endpoint.known_as = entry.known_as;
         gone ? void(destination.endpoints.erase(entry.endpoint))
              : void(destination.endpoints.insert(entry.endpoint));
-        if (apart(endpoint) && entry.known_as != 0) by_name_[told_as(endpoint)] = entry.endpoint;
+        if (has_own_route(endpoint) && entry.known_as != 0)
+            endpoint_by_limit_key_[limit_key(endpoint)] = entry.endpoint;
         if (settings_.listed_rates) {
             if (entry.rate > 0) destination.weight = entry.rate;
-            Route& route = apart(endpoint) ? endpoint.own : destination.shared;
+            Route& route = has_own_route(endpoint) ? endpoint.own : destination.shared;
             if (route.known == 0.0) route.known = entry.rate;
         }
         if (entry.cold) {  // all senders know that it was out
             endpoint.health = Health::Sick, endpoint.failure_seen = true, endpoint.knowing = 1.0;
             endpoint.fell = kLongAgo, fall_sick(endpoint, now);
         }
-        touch(entry.destination, now);
+        reschedule(entry.destination, now);
     }
     void name(Endpoint& endpoint, std::optional<DestinationId> to) {
         if (endpoint.named && to == endpoint.destination) return;
-        if (endpoint.named && --endpoint.home->named == 0) unnamed_.insert(endpoint.destination);
+        if (endpoint.named && --endpoint.home->named == 0)
+            unlisted_destinations_.insert(endpoint.destination);
         endpoint.named = to.has_value();
-        if (to && destinations_[*to].named++ == 0) unnamed_.erase(*to);
+        if (to && destinations_[*to].named++ == 0) unlisted_destinations_.erase(*to);
     }
     // What no list, call, doubt or message names any more is forgotten, if nothing of it is worth knowing.
     void tidy(Time now) {
-        tidy_at_ = now + kTidyGap;
-        std::erase_if(gone_, [&](EndpointId id) {
-            if (endpoints_.at(id).in_flight > 0 || doubts_.contains(id)) return false;
+        next_cleanup_at_ = now + kTidyGap;
+        std::erase_if(unlisted_endpoints_, [&](EndpointId id) {
+            if (endpoints_.at(id).in_flight > 0 || doubtful_counts_.contains(id)) return false;
             name(endpoints_.at(id), std::nullopt);
-            if (const auto as = told_as(endpoints_.at(id)); by_name_.erase(as) > 0) limits_.forget(as);
+            if (const auto as = limit_key(endpoints_.at(id)); endpoint_by_limit_key_.erase(as) > 0)
+                reported_limits_.forget(as);
             endpoints_.erase(id);
             actions_.emplace_back(Forget{id});
             return true;
         });
-        std::erase_if(unnamed_, [&](DestinationId id) {
+        std::erase_if(unlisted_destinations_, [&](DestinationId id) {
             const Destination& destination = destinations_.at(id);
             const Time last = std::max({destination.asked_at, destination.last_served,
                 destination.shared.wait_until, destination.shared.limit_tag});
             if (!destination.held.empty() || destination.in_flight != 0 || last + kStateAge > now)
                 return false;
-            destinations_.erase(id), limits_.forget(id);
+            destinations_.erase(id), reported_limits_.forget(id);
             return true;
         });
     }
     // What was waited for has come: pauses, rests of keys, tags, waits and budgets that fall due by now.
     void free_due(Time now) {
-        for (const MessageId id : pauses_.take_due(now)) changed(id, now);
-        for (const std::uint64_t key : rests_.take_due(now)) line_changed(key, now);
-        for (const std::uint64_t key : stale_lines_.take_due(now))
-            if (keys_.contains(key)) drop_line(key, now);
-        for (const DestinationId id : dues_.take_due(now)) touch(id, now);
+        for (const MessageId id : backoff_queue_.take_due(now)) changed(id, now);
+        for (const std::uint64_t key : key_pause_queue_.take_due(now)) line_changed(key, now);
+        for (const std::uint64_t key : key_cleanup_queue_.take_due(now))
+            if (key_queues_.contains(key)) drop_line(key, now);
+        for (const DestinationId id : destination_due_queue_.take_due(now)) reschedule(id, now);
     }
     void set_timer(Time now) {
-        Time next = watch_at_;
-        if (limits_.has_unsent()) next = std::min(next, tell_at_);
+        Time next = next_watch_at_;
+        if (reported_limits_.has_unsent()) next = std::min(next, next_gossip_at_);
         if (!calls_.empty()) next = std::min(next, now + paced(kSweep, 1.0));
-        for (const auto& due : {ends_.next(), pauses_.next(), rests_.next()})
+        for (const auto& due : {expiry_queue_.next(), backoff_queue_.next(), key_pause_queue_.next()})
             if (due) next = std::min(next, *due);
-        if (const auto due = dues_.next(); due && calls_.size() < settings_.slots)
+        if (const auto due = destination_due_queue_.next(); due && calls_.size() < settings_.slots)
             next = std::min(next, *due);
         if (next == kNever) return;
         next = std::max(next, now + Time(1000));
--- a/src/policy/tags.hpp
+++ b/src/policy/mclock_tags.hpp
@@ -5,26 +5,26 @@
 
 namespace cometspoke::policy {
 
-struct Tags : State {
+struct MclockTags : State {
     using State::State;
 
     // Something of a destination has changed: it stands where its health and its calls put it, and its dues
     // are looked up anew.
-    void touch(DestinationId id, Time now) {
+    void reschedule(DestinationId id, Time now) {
         const auto found = destinations_.find(id);
         if (found == destinations_.end()) return;
         Destination& destination = found->second;
         leave_order(id, destination);
         destination.parked = false;
-        if (!active_.contains(id)) return dues_.erase(id);
+        if (!active_destinations_.contains(id)) return destination_due_queue_.erase(id);
         enter_order(id, destination);
         const Time due = next_due(destination, now);
-        due == kNever ? dues_.erase(id) : dues_.set(id, due);
+        due == kNever ? destination_due_queue_.erase(id) : destination_due_queue_.set(id, due);
     }
     void enter_order(DestinationId id, Destination& destination) {
-        destination.order = !ailing(destination)         ? &well_
-                            : destination.in_flight == 0 ? &sick_idle_
-                                                         : &sick_busy_;
+        destination.order = !ailing(destination)         ? &healthy_order_
+                            : destination.in_flight == 0 ? &unhealthy_idle_order_
+                                                         : &unhealthy_busy_order_;
         destination.order->insert({destination.share_tag, id});
     }
     void leave_order(DestinationId id, Destination& destination) {
@@ -33,9 +33,9 @@
     }
     void set_share_tag(DestinationId id, Destination& destination, Time tag) {
         leave_order(id, destination);
-        by_share_.erase({destination.share_tag, id});
+        by_share_tag_.erase({destination.share_tag, id});
         destination.share_tag = tag;
-        by_share_.insert({tag, id});
+        by_share_tag_.insert({tag, id});
         if (!destination.parked) enter_order(id, destination);
     }
     // The tags of the head: R = max(R+1/r, now), L = max(L+1/l, now), P = max(P+1/w, now-sigma/w). They
@@ -46,28 +46,28 @@
         newcomer.share_tag = std::max(newcomer.share_tag, now - from_seconds(kSigma / w));
         newcomer.shared.limit_tag = std::max(newcomer.shared.limit_tag, now);
         // all others shift at once: their tags are kept less this sum
-        if (!by_share_.empty())
-            share_shift_ += newcomer.share_tag - (by_share_.begin()->first + share_shift_);
-        newcomer.share_tag -= share_shift_;
-        by_share_.insert({newcomer.share_tag, id});
+        if (!by_share_tag_.empty())
+            share_tag_offset_ += newcomer.share_tag - (by_share_tag_.begin()->first + share_tag_offset_);
+        newcomer.share_tag -= share_tag_offset_;
+        by_share_tag_.insert({newcomer.share_tag, id});
     }
     void deactivate(DestinationId id, Destination& destination) {
         leave_order(id, destination);
-        by_share_.erase({destination.share_tag, id});
-        destination.share_tag += share_shift_;
-        active_.erase(id), dues_.erase(id);
+        by_share_tag_.erase({destination.share_tag, id});
+        destination.share_tag += share_tag_offset_;
+        active_destinations_.erase(id), destination_due_queue_.erase(id);
     }
     // The slot cap. Sick destinations together leave half of the slots to the healthy.
     bool under_cap(const Destination& destination) const {
         const double slots = static_cast<double>(settings_.slots);
-        return destination.in_flight == 0 || destination.in_flight + 1 < kCapShare * slots;
+        return destination.in_flight == 0 || destination.in_flight + 1 < kMaxDestinationSlotShare * slots;
     }
     bool sick_may_go(const Destination& one) const { return sick_order_may_go(one.in_flight == 0); }
     // One trial each while slots are left: after a stall of all, stuck calls must not keep them unheard.
     bool sick_order_may_go(bool idle) const {
         const double slots = static_cast<double>(settings_.slots);
         if (idle && static_cast<double>(calls_.size()) < kScarce * slots) return true;
-        return sick_calls_ + 1 <= std::max(1.0, kSickShare * slots);
+        return unhealthy_calls_ + 1 <= std::max(1.0, kSickShare * slots);
     }
     int sick_calls() const {
         return static_cast<int>(std::count_if(calls_.begin(), calls_.end(),
--- a/src/policy/messages.hpp
+++ b/src/policy/message_lifecycle.hpp
@@ -1,12 +1,12 @@
 /// The life of a message: held, out, in doubt, pausing, ended; and of the lines of keys in order.
 #pragma once
 
-#include "policy/health.hpp"
+#include "policy/endpoint_health.hpp"
 
 namespace cometspoke::policy {
 
-struct Messages : Learning {
-    using Learning::Learning;
+struct MessageLifecycle : EndpointHealth {
+    using EndpointHealth::EndpointHealth;
 
     void settle(const OutcomeEvent& event, const Call& call, Time now) {
         const bool never_ran = event.outcome == Outcome::TurnedAway ||
@@ -24,21 +24,22 @@
         changed(event.message, now);
     }
     void set_doubt(Message& message, std::optional<EndpointId> at) {
-        if (message.doubt_at && --doubts_.at(*message.doubt_at) == 0) doubts_.erase(*message.doubt_at);
+        if (message.doubt_at && --doubtful_counts_.at(*message.doubt_at) == 0)
+            doubtful_counts_.erase(*message.doubt_at);
         message.doubt_at = at;
-        if (at) ++doubts_[*at];
+        if (at) ++doubtful_counts_[*at];
     }
     // A message has changed: when it ends, when its pause does, and whether it may go stand anew.
     void changed(MessageId id, Time now) {
         const auto found = messages_.find(id);
         if (found == messages_.end()) return;
         Message& message = found->second;
-        ends_.set(id, ends_at(message));
+        expiry_queue_.set(id, ends_at(message));
         const bool pausing = message.out == 0 && message.not_before > now;
-        pausing ? pauses_.set(id, message.not_before) : pauses_.erase(id);
+        pausing ? backoff_queue_.set(id, message.not_before) : backoff_queue_.erase(id);
         make_ready(
             id, message, message.out == 0 && !pausing && (!message.key || turn_at(id, *message.key) <= now));
-        touch(message.destination, now);
+        reschedule(message.destination, now);
     }
     void make_ready(MessageId id, Message& message, bool is_ready) {
         if (std::exchange(message.ready, is_ready) == is_ready) return;
@@ -49,21 +50,21 @@
     }
     // Whose turn it is in a key's line, and from when on.
     void line_changed(std::uint64_t key, Time now) {
-        const auto found = keys_.find(key);
-        if (found == keys_.end()) return rests_.erase(key), stale_lines_.erase(key);
+        const auto found = key_queues_.find(key);
+        if (found == key_queues_.end()) return key_pause_queue_.erase(key), key_cleanup_queue_.erase(key);
         const KeyLine& line = found->second;
         const bool rests = line.rest_until > now;
         const bool stale = line.turn.empty() && line.out == 0 && rests;
-        stale ? stale_lines_.set(key, line.rest_until) : stale_lines_.erase(key);
+        stale ? key_cleanup_queue_.set(key, line.rest_until) : key_cleanup_queue_.erase(key);
         const bool held_up =
             !line.turn.empty() && line.out == 0 && rests && line.rest_for != line.turn.front();
-        held_up ? rests_.set(key, line.rest_until) : rests_.erase(key);
+        held_up ? key_pause_queue_.set(key, line.rest_until) : key_pause_queue_.erase(key);
         if (!line.turn.empty()) changed(line.turn.front(), now);
     }
     void hold(DestinationId id, Destination& destination, MessageId message_id, const Message& message) {
-        by_held_.erase({destination.held.size(), id});
+        by_held_count_.erase({destination.held.size(), id});
         destination.held.emplace(message.arrival, message_id);
-        by_held_.insert({destination.held.size(), id});
+        by_held_count_.insert({destination.held.size(), id});
         ++destination.held_of[message.message_class];
     }
     // Doubling; from half of the allowed attempts on, those left are spread over the time left: otherwise
@@ -71,13 +72,13 @@
     Time pause_after(const Message& message, Time now) const {
         const Time doubled =
             kRetryGap * (1 << std::min<std::uint32_t>(message.attempts - 1, kPauseDoublings));
-        const std::size_t most = terms(message).max_attempts;
+        const std::size_t most = class_settings(message).max_attempts;
         if (message.attempts * 2 < most || message.attempts >= most) return doubled;
         const auto left = static_cast<Time::rep>(most - message.attempts);
         return std::max(doubled, (message.deadline - now) / (left + 1));
     }
     void settle_key(std::uint64_t key, const OutcomeEvent& event, Time now) {
-        KeyLine& line = keys_.at(key);
+        KeyLine& line = key_queues_.at(key);
         --line.out;
         if (event.outcome == Outcome::NoAnswer || event.outcome == Outcome::ConnectionLost ||
             event.outcome == Outcome::CalledOff)
@@ -87,11 +88,11 @@
         line_changed(key, now);
     }
     void drop_line(std::uint64_t key, Time now) {
-        const KeyLine& line = keys_.at(key);
-        if (line.turn.empty() && line.out == 0 && line.rest_until <= now) keys_.erase(key);
+        const KeyLine& line = key_queues_.at(key);
+        if (line.turn.empty() && line.out == 0 && line.rest_until <= now) key_queues_.erase(key);
     }
     Time turn_at(MessageId id, std::uint64_t key) const {
-        const KeyLine& line = keys_.at(key);
+        const KeyLine& line = key_queues_.at(key);
         if (line.out > 0 || line.turn.front() != id) return kNever;
         return line.rest_for == id ? kLongAgo : line.rest_until;
     }
@@ -103,13 +104,13 @@
     }
     // A message is over when its time is, or when no further attempt is allowed.
     void end_overdue(Time now) {
-        std::vector<MessageId> over = ends_.due(now, kMostEnds);  // the rest by the next timer
+        std::vector<MessageId> over = expiry_queue_.due(now, kMostEnds);  // the rest by the next timer
         std::sort(over.begin(), over.end());
         for (const MessageId id : over) end(id, now);
     }
     Time ends_at(const Message& message) const {
         if (message.out > 0) return message.deadline;
-        if (message.attempts >= terms(message).max_attempts) return kLongAgo;
+        if (message.attempts >= class_settings(message).max_attempts) return kLongAgo;
         return std::min(message.deadline, resend_until(message));
     }
     bool may_refuse(const Message& message) const {
@@ -142,21 +143,22 @@
         Destination& destination = destinations_[destination_id];
         make_ready(id, message, false);
         set_doubt(message, std::nullopt);
-        ends_.erase(id), pauses_.erase(id);
-        by_held_.erase({destination.held.size(), destination_id});
+        expiry_queue_.erase(id), backoff_queue_.erase(id);
+        by_held_count_.erase({destination.held.size(), destination_id});
         destination.held.erase(message.arrival);
         --destination.held_of[message.message_class];
         const std::size_t held = destination.held.size();
-        held == 0 ? deactivate(destination_id, destination) : void(by_held_.insert({held, destination_id}));
+        held == 0 ? deactivate(destination_id, destination)
+                  : void(by_held_count_.insert({held, destination_id}));
         const auto key = message.key;
         if (key) {
-            std::deque<MessageId>& turn = keys_.at(*key).turn;
+            std::deque<MessageId>& turn = key_queues_.at(*key).turn;
             turn.front() == id ? turn.pop_front() : void(std::erase(turn, id));
             drop_line(*key, now);
         }
         messages_.erase(found);
         if (key) line_changed(*key, now);
-        touch(destination_id, now);
+        reschedule(destination_id, now);
     }
 };
 
--- a/src/policy/turns.hpp
+++ b/src/policy/scheduler.hpp
@@ -1,7 +1,7 @@
 /// The pick: which message goes next and where to, what is dropped, and which connections are kept.
 #pragma once
 
-#include "policy/room.hpp"
+#include "policy/load_shedding.hpp"
 
 namespace cometspoke::policy {
 
@@ -11,21 +11,21 @@
     EndpointId endpoint = 0;
 };
 
-struct Turns : Room {
-    using Room::Room;
+struct Scheduler : LoadShedding {
+    using LoadShedding::LoadShedding;
 
     // First the smallest R tag due; else the smallest P tag among destinations whose L tag is due.
     std::optional<Pick> choose(Time now) {
-        reserved_ = settings_.floor_per_s > 0;
-        if (reserved_)
+        picked_by_reservation_ = settings_.floor_per_s > 0;
+        if (picked_by_reservation_)
             if (const auto pick = by_reservation(now)) return pick;
-        reserved_ = false;
+        picked_by_reservation_ = false;
         return by_share(now);
     }
     std::optional<Pick> by_reservation(Time now) {
         std::optional<Pick> best;
         Time least = kNever;
-        for (const auto& [id, destination] : active_) {
+        for (const auto& [id, destination] : active_destinations_) {
             if (destination->reservation_tag > now || destination->reservation_tag >= least) continue;
             if (!under_cap(*destination) || (ailing(*destination) && !sick_may_go(*destination))) continue;
             if (const auto pick = head(id, *destination, now, false))
@@ -37,8 +37,10 @@
     std::optional<Pick> by_share(Time now) {
         while (true) {
             Order* first = nullptr;
-            for (Order* order : {&well_, &sick_idle_, &sick_busy_}) {
-                if (order->empty() || (order != &well_ && !sick_order_may_go(order == &sick_idle_))) continue;
+            for (Order* order : {&healthy_order_, &unhealthy_idle_order_, &unhealthy_busy_order_}) {
+                if (order->empty() ||
+                    (order != &healthy_order_ && !sick_order_may_go(order == &unhealthy_idle_order_)))
+                    continue;
                 if (first == nullptr || *order->begin() < *first->begin()) first = order;
             }
             if (first == nullptr) return std::nullopt;
@@ -59,13 +61,13 @@
         ++destination.in_flight;
         take_connection(endpoint, now);
         endpoint.often = now - std::exchange(endpoint.used, now) < settings_.conn_idle / kReuse;
-        if (ailing(*endpoint.home)) ++sick_calls_;
+        if (ailing(*endpoint.home)) ++unhealthy_calls_;
         if (const double w = endpoint.weight; w > 0)
             endpoint.turn = std::max(endpoint.turn, ++destination.turn - kMostBehind / w) + 1.0 / w;
         send(pick.message, pick.endpoint, call_id, now);
         fill_call(destination, pick.endpoint, call_id, now);
         step_tags(pick.destination, destination, endpoint, now);
-        touch(pick.destination, now);
+        reschedule(pick.destination, now);
     }
     void step_tags(DestinationId id, Destination& destination, Endpoint& endpoint, Time now) {
         Route& route = route_of(endpoint);
@@ -75,20 +77,21 @@
         if (endpoint.weight == 0) spilled(destination, senders(), ailing(destination), now);
         if (endpoint.health != Health::Well) spend_budget(endpoint, now);
         const double w = slot_weight(destination);
-        const Time tag = destination.share_tag + share_shift_;
+        const Time tag = destination.share_tag + share_tag_offset_;
         set_share_tag(
-            id, destination, std::max(tag + gap_of(w), now - from_seconds(kSigma / w)) - share_shift_);
+            id, destination, std::max(tag + gap_of(w), now - from_seconds(kSigma / w)) - share_tag_offset_);
         if (settings_.floor_per_s <= 0) return;
         const Time step = gap_of(settings_.floor_per_s);
         destination.reservation_tag = std::max(destination.reservation_tag + step, now);
-        if (!reserved_) destination.reservation_tag -= step;  // served by share: 1/r is taken off again
+        if (!picked_by_reservation_)
+            destination.reservation_tag -= step;  // served by share: 1/r is taken off again
     }
     void send(MessageId id, EndpointId to, std::uint64_t call_id, Time now) {
         Message& message = messages_.at(id);
         attempts_.emplace(std::pair(id, message.attempts), Attempt{call_id, message.key, false});
         ++message.attempts, ++message.out;
         ++calls_.at(call_id).out;
-        if (message.key) ++keys_[*message.key].out, line_changed(*message.key, now);
+        if (message.key) ++key_queues_[*message.key].out, line_changed(*message.key, now);
         changed(id, now);
         actions_.emplace_back(Send{id, to, time_out(message, now), resend_until(message)});
     }
@@ -147,7 +150,7 @@
     // Not out, its pause over, its key's turn, and inside its window if it may have run.
     bool ready(MessageId id, const Message& message, Time now) const {
         if (message.out > 0 || message.not_before > now || message.deadline <= now) return false;
-        if (message.attempts >= terms(message).max_attempts) return false;
+        if (message.attempts >= class_settings(message).max_attempts) return false;
         if (now > resend_until(message)) return false;
         return !message.key || turn_at(id, *message.key) <= now;
     }
@@ -192,7 +195,8 @@
     bool may_go(const Message& message, EndpointId to) const {
         const ClassSettings& kind = settings_.classes[message.message_class];
         const Endpoint& endpoint = endpoints_.at(to);
-        if (message.route - 1 < routes_.size() && !routes_[message.route - 1].contains(to)) return false;
+        if (message.route - 1 < route_endpoints_.size() && !route_endpoints_[message.route - 1].contains(to))
+            return false;
         if (kind.effect == Effect::Fragile &&
             (endpoint.failing > kFragileBar || endpoint.health == Health::Sick))
             return false;
@@ -205,7 +209,7 @@
     // Calls that can be dropped later, and those that may not be repeated, are waited for to the end.
     Time time_out(const Message& message, Time now) const {
         const Time left = message.deadline - now;
-        if (settings_.cancel || terms(message).effect == Effect::Fragile) return left;
+        if (settings_.cancel || class_settings(message).effect == Effect::Fragile) return left;
         return std::min(left, patience(destinations_.at(message.destination)));
     }
     // A long call stays out while nothing better can be done: it may still be answered, and a repeat costs
@@ -215,7 +219,7 @@
         if (!settings_.cancel) return;
         const auto slots = static_cast<double>(settings_.slots), out = static_cast<double>(calls_.size());
         const bool jammed = out > kScarce * slots;
-        const bool scarce = jammed || sick_calls_ + 1 > kSickShare * slots;
+        const bool scarce = jammed || unhealthy_calls_ + 1 > kSickShare * slots;
         for (auto& [name, attempt] : attempts_) {
             const Call& call = calls_.at(attempt.call);
             const auto found = messages_.find(name.first);
@@ -241,10 +245,11 @@
     // closed where they would seldom be used or connects were refused. Costs a handshake where traffic is
     // thin.
     void close_idle(Time now) {
-        for (const EndpointId id : std::exchange(freed_, {})) {
+        for (const EndpointId id : std::exchange(freed_endpoints_, {})) {
             Endpoint& endpoint = endpoints_.at(id);
             const bool used = endpoint.often || endpoint.weight > 0;
-            if (endpoint.idle.empty() || (used && now - unconnected_[endpoint.kind] > kRecent)) continue;
+            if (endpoint.idle.empty() || (used && now - connect_refused_at_[endpoint.kind] > kRecent))
+                continue;
             endpoint.idle.clear();
             actions_.emplace_back(CloseIdle{id});
         }
--- a/src/policy/state.hpp
+++ b/src/policy/state.hpp
@@ -23,10 +23,11 @@
 
 constexpr double kSigma = 1.0;                           // idle credit in sends: the design's default
 constexpr double kLeastQuick = 0.02, kMostQuick = 20.0;  // bounds of what slot time makes of a weight
-constexpr double kCapShare = 0.75;  // calls to one destination stay under this share of the slots
+constexpr double kMaxDestinationSlotShare =
+    0.75;                           // calls to one destination stay under this share of the slots
 constexpr double kSickShare = 0.5;  // and at most this while it fails or is slow; also all sick ones together
 
-// Learning l: the own part is between an even part and the whole. Steps are powers of n, the number of
+// EndpointHealth l: the own part is between an even part and the whole. Steps are powers of n, the number of
 // senders: the more they are, the rarer is each one's news and the further off its right part may be.
 constexpr double kFall = -1.0 / 3.0;  // the first refusal: a third off among three senders, 3/4 among sixty
 constexpr double kRise = 1.0 / 24.0;  // a success: eight for the first refusal after it
@@ -55,7 +56,8 @@
 constexpr int kShutRefusals = 3;        // refusals in a row with no success between: shut, not above a limit
 constexpr double kBudgetUse = 0.9;      // part of the fall-back budget used; limits lie below the capacity
 constexpr double kLeastCapacity = 2.0;  // calls a second that any destination is taken to stand
-constexpr double kMemory_s = 20.0, kLeastKnowing = 0.05;  // own messages a second; share that knows
+constexpr double kArrivalRateMemory_s = 20.0,
+                 kLeastKnowing = 0.05;    // own messages a second; share that knows
 constexpr double kLeastTrials = 3.0;      // all senders together try so often in a fall-back window, at least
 constexpr Time kTrialGap{250'000};        // sends to an endpoint that is sick are at least so far apart,
 constexpr Time kLeastGap{10'000};         // and to one that answers again so far at most, and at least so
@@ -94,19 +96,23 @@
 constexpr int kWatchDoublings = 4;
 
 struct State {
-    State(Settings settings, std::uint64_t seed) : settings_(std::move(settings)), random_(seed), own_(seed) {
+    State(Settings settings, std::uint64_t seed)
+        : settings_(std::move(settings)), random_(seed), tie_break_seed_(seed) {
         quota_tags_.resize(settings_.tenants.size(), kLongAgo);
-        unconnected_.resize(settings_.kinds.size(), kLongAgo);
-        if (settings_.must_subscribe) watch_at_ = kLongAgo;
+        connect_refused_at_.resize(settings_.kinds.size(), kLongAgo);
+        if (settings_.must_subscribe) next_watch_at_ = kLongAgo;
         const std::size_t most = std::min<std::size_t>(settings_.most_held, 1u << 20);
-        messages_.reserve(most), ends_.reserve(most), endpoints_.reserve(1u << 16);  // none grows in a turn
+        messages_.reserve(most), expiry_queue_.reserve(most),
+            endpoints_.reserve(1u << 16);  // none grows in a turn
     }
 
-    bool apart(const Endpoint& endpoint) const { return settings_.kinds[endpoint.kind].routes_apart; }
-    DestinationId told_as(const Endpoint& one) const {
-        return apart(one) ? static_cast<DestinationId>(one.known_as) : one.destination;
+    bool has_own_route(const Endpoint& endpoint) const { return settings_.kinds[endpoint.kind].routes_apart; }
+    DestinationId limit_key(const Endpoint& one) const {
+        return has_own_route(one) ? static_cast<DestinationId>(one.known_as) : one.destination;
+    }
+    Route& route_of(Endpoint& endpoint) {
+        return has_own_route(endpoint) ? endpoint.own : endpoint.home->shared;
     }
-    Route& route_of(Endpoint& endpoint) { return apart(endpoint) ? endpoint.own : endpoint.home->shared; }
     // l: an even part of the limit times what was learned. Without a known limit it is unbounded (0) until
     // the first refusal, and what the destination is seen to take stands for it.
     double limit(const Route& route, const Destination& destination) const {
@@ -129,24 +135,24 @@
     }
     // Among equals each sender goes by an order of its own, lest all prefer the same one.
     std::uint64_t rank_of(EndpointId id) const {
-        return own_ == 0 ? id : lockgw::mixed(own_ ^ lockgw::mixed(id));
+        return tie_break_seed_ == 0 ? id : lockgw::mixed(tie_break_seed_ ^ lockgw::mixed(id));
     }
     double sharers(const Route& route) const { return route.sharers > 0 ? route.sharers : senders(); }
     double senders() const { return static_cast<double>(settings_.n_instances); }
     double usual(const Destination& destination) const {
-        const double known = destination.usual > 0 ? destination.usual : overall_usual_;
+        const double known = destination.usual > 0 ? destination.usual : overall_latency_s_;
         return std::max(known > 0 ? known : seconds(kFirstUsual), seconds(kLeastUsual));
     }
     // w by what a call brings for the time of its slot, and by that time: the slow must not hold up the
     // quick.
     double slot_weight(const Destination& one) const {
-        const double quick = overall_usual_ > 0 ? overall_usual_ / usual(one) : 1.0;
+        const double quick = overall_latency_s_ > 0 ? overall_latency_s_ / usual(one) : 1.0;
         return one.weight * std::clamp(quick * quick, kLeastQuick, kMostQuick);
     }
     // A fixed span is meant for answers in a tenth of a second or more; where all answer sooner it shrinks.
     Time paced(Time span, double times) const {
-        if (overall_usual_ <= 0) return span;
-        return std::min(span, std::max(kLeastPaced, from_seconds(times * overall_usual_)));
+        if (overall_latency_s_ <= 0) return span;
+        return std::min(span, std::max(kLeastPaced, from_seconds(times * overall_latency_s_)));
     }
     // How long a call is waited for; less where later ones to its endpoint were answered.
     Time patience(const Destination& destination, bool passed = false) const {
@@ -166,7 +172,9 @@
         if (!ailing(destination)) return Time(0);
         return std::min(kLongStall, now - destination.last_served);
     }
-    const ClassSettings& terms(const Message& one) const { return settings_.classes[one.message_class]; }
+    const ClassSettings& class_settings(const Message& one) const {
+        return settings_.classes[one.message_class];
+    }
     double worth_of(const Message& message, Time served) const {
         const ClassSettings& kind = settings_.classes[message.message_class];
         if (served >= message.deadline) return 0.0;
@@ -184,38 +192,40 @@
 
     Settings settings_;
     std::mt19937_64 random_;
-    std::uint64_t own_;  // drawn for this sender alone
+    std::uint64_t tie_break_seed_;  // drawn for this sender alone
     std::unordered_map<DestinationId, Destination> destinations_;
-    std::map<DestinationId, Destination*> active_;  // those that hold messages,
-    Order by_share_;                                // all of them by share tag,
-    Order well_, sick_idle_, sick_busy_;            // and those that are not parked, apart
-    Time share_shift_{0};                           // their share tags are kept less this
-    std::set<std::pair<std::size_t, DestinationId>> by_held_;
-    std::set<DestinationId> unnamed_;  // of all: those that no endpoint names
-    lockgw::DueQueue<MessageId, Time> ends_, pauses_;
-    lockgw::DueQueue<std::uint64_t, Time> rests_, stale_lines_;  // of keys in order
-    lockgw::DueQueue<DestinationId, Time> dues_;                 // their next tag, wait or budget
-    std::map<EndpointId, std::size_t> doubts_;                   // messages that may have run there
-    DestinationId looked_at_ = 0;
-    int sick_calls_ = 0, watch_tries_ = 0;
+    std::map<DestinationId, Destination*> active_destinations_;  // those that hold messages,
+    Order by_share_tag_;                                         // all of them by share tag,
+    Order healthy_order_, unhealthy_idle_order_,
+        unhealthy_busy_order_;  // and those that are not parked, apart
+    Time share_tag_offset_{0};  // their share tags are kept less this
+    std::set<std::pair<std::size_t, DestinationId>> by_held_count_;
+    std::set<DestinationId> unlisted_destinations_;  // of all: those that no endpoint names
+    lockgw::DueQueue<MessageId, Time> expiry_queue_, backoff_queue_;
+    lockgw::DueQueue<std::uint64_t, Time> key_pause_queue_, key_cleanup_queue_;  // of keys in order
+    lockgw::DueQueue<DestinationId, Time> destination_due_queue_;  // their next tag, wait or budget
+    std::map<EndpointId, std::size_t> doubtful_counts_;            // messages that may have run there
+    DestinationId shed_scan_cursor_ = 0;
+    int unhealthy_calls_ = 0, watch_failures_ = 0;
     std::unordered_map<EndpointId, Endpoint> endpoints_;
     std::unordered_map<MessageId, Message> messages_;
-    std::map<std::uint64_t, KeyLine> keys_;
+    std::map<std::uint64_t, KeyLine> key_queues_;
     std::map<std::pair<MessageId, std::uint32_t>, Attempt> attempts_;
     std::map<std::uint64_t, Call> calls_;
-    std::vector<Time> quota_tags_;              // by tenant
-    std::vector<Time> unconnected_;             // by kind, the last connect that was refused
-    std::set<EndpointId> freed_;                // calls ended there in this batch
-    std::vector<std::set<EndpointId>> routes_;  // endpoints that each allows, from route 1 on
-    std::set<EndpointId> gone_;                 // no longer listed, and not forgotten yet
-    lockgw::rate_limits::RateLimitTable limits_;
-    std::map<DestinationId, EndpointId> by_name_;  // those whose routes are apart, by what all know them as
-    Time tell_at_{kLongAgo};
+    std::vector<Time> quota_tags_;                       // by tenant
+    std::vector<Time> connect_refused_at_;               // by kind, the last connect that was refused
+    std::set<EndpointId> freed_endpoints_;               // calls ended there in this batch
+    std::vector<std::set<EndpointId>> route_endpoints_;  // endpoints that each allows, from route 1 on
+    std::set<EndpointId> unlisted_endpoints_;            // no longer listed, and not forgotten yet
+    lockgw::rate_limits::RateLimitTable reported_limits_;
+    std::map<DestinationId, EndpointId>
+        endpoint_by_limit_key_;  // those whose routes are apart, by what all know them as
+    Time next_gossip_at_{kLongAgo};
     std::vector<Action> actions_;
-    std::uint64_t arrivals_ = 0, call_count_ = 0;
-    double overall_usual_ = 0.0;
-    bool reserved_ = false;
-    Time watch_at_ = kNever, timer_at_{kLongAgo}, tidy_at_{kLongAgo};
+    std::uint64_t arrival_count_ = 0, call_count_ = 0;
+    double overall_latency_s_ = 0.0;
+    bool picked_by_reservation_ = false;
+    Time next_watch_at_ = kNever, timer_at_{kLongAgo}, next_cleanup_at_{kLongAgo};
 };
 
 }  // namespace cometspoke::policy
--- a/src/records/learned.hpp
+++ b/src/records/learned.hpp
@@ -11,14 +11,14 @@
 
 namespace cometspoke::policy {
 
-/// `All`: the module's memory (src/policy/state.hpp), with touch().
+/// `All`: the module's memory (src/policy/state.hpp), with reschedule().
 template <class All>
 void learn_limit(All& all, const LearnedEvent::Limit& from, Route& to, DestinationId told_as) {
     if (to.known == 0) to.known = from.known;
     if (to.gain == 0) to.gain = from.gain;
     if (to.heard > 0 || from.heard <= 0) return;
     to.heard = from.heard, to.left = std::max(0.0, from.left);
-    all.limits_.merge({told_as, to.heard, to.left, from.at});
+    all.reported_limits_.merge({told_as, to.heard, to.left, from.at});
 }
 
 inline void learn_outage(const LearnedEvent::Outage& from, Endpoint& to) {
@@ -49,10 +49,10 @@
         Route& route = all.route_of(one);
         if (fact.wait_until) route.wait_until = std::max(route.wait_until, *fact.wait_until);
         if (fact.outage) learn_outage(*fact.outage, one);
-        if (fact.limit && all.apart(one)) learn_limit(all, *fact.limit, one.own, all.told_as(one));
-        all.touch(one.destination, now);
+        if (fact.limit && all.has_own_route(one)) learn_limit(all, *fact.limit, one.own, all.limit_key(one));
+        all.reschedule(one.destination, now);
     }
-    if (all.overall_usual_ == 0) all.overall_usual_ = event.usual_s;
+    if (all.overall_latency_s_ == 0) all.overall_latency_s_ = event.usual_s;
 }
 
 }  // namespace cometspoke::policy
--- a/src/recovery/learning.cpp
+++ b/src/recovery/learning.cpp
@@ -20,7 +20,7 @@
 
 Limit limit_of(const Route& route, const State& state, cometspoke::DestinationId told_as, Time now) {
     Limit limit{route.known, route.gain, route.heard, route.left, {}};
-    if (const auto report = state.limits_.find(told_as)) limit.age = ago(report->observed_at, now);
+    if (const auto report = state.reported_limits_.find(told_as)) limit.age = ago(report->observed_at, now);
     return limit;
 }
 std::optional<LearnedEvent::Limit> limit_of(const Limit& limit, Time now) {
@@ -33,12 +33,12 @@
 Snapshot facts_of(cometspoke::Sender& module, const Names& names, Time now) {
     State& state = module.state();
     Snapshot all;
-    all.usual_s = state.overall_usual_;
+    all.usual_s = state.overall_latency_s_;
     for (auto& [number, endpoint] : state.endpoints_) {
         if (endpoint.home == nullptr || !endpoint.named) continue;
-        const bool apart = state.apart(endpoint), well = endpoint.health == Health::Well;
+        const bool apart = state.has_own_route(endpoint), well = endpoint.health == Health::Well;
         TargetFact fact;
-        if (apart) fact.limit = limit_of(endpoint.own, state, state.told_as(endpoint), now);
+        if (apart) fact.limit = limit_of(endpoint.own, state, state.limit_key(endpoint), now);
         if (well && !fact.limit.any()) continue;
         const std::string* name = names(number);
         if (name == nullptr) continue;
@@ -55,7 +55,7 @@
         DestinationFact fact{number, limit_of(one.shared, state, number, now), one.usual, one.served_rate, 0};
         if (const auto age = ago(one.asked_at, now))  // as of now
             fact.asked_per_s = one.asked * std::exp(-std::chrono::duration<double>(*age).count() /
-                                                    cometspoke::policy::kMemory_s);
+                                                    cometspoke::policy::kArrivalRateMemory_s);
         if (fact.limit.any() || fact.usual_s > 0) all.destinations.push_back(fact);
     }
     return all;
--- a/tests/capture_parts_test.cpp
+++ b/tests/capture_parts_test.cpp
@@ -21,12 +21,12 @@
 /// As a file would have it.
 Segment read_again(const Segment& segment) { return capture::segment_of(capture::bytes_of(segment)); }
 
-class CaptureParts : public ::testing::TestWithParam<Variant> {};
-INSTANTIATE_TEST_SUITE_P(Capture, CaptureParts, ::testing::ValuesIn(variants()),
+class CaptureParts : public ::testing::TestWithParam<TrafficVariant> {};
+INSTANTIATE_TEST_SUITE_P(Capture, CaptureParts, ::testing::ValuesIn(traffic_variants()),
     [](const auto& info) { return std::string(info.param.name); });
 
 TEST_P(CaptureParts, ACutStandsByItselfAndPartsMakeTheWhole) {
-    const Seeds seeds(6);
+    const SeedRange seeds(6);
     for (std::uint64_t seed = seeds.first; seed < seeds.last; ++seed) {
         const Segment whole = written_down(GetParam(), seed, 200);
         std::mt19937_64 random(seed);
@@ -59,7 +59,7 @@
 
 // Whatever was decided: the smallest capture that shows it does, and none of its events can be left out.
 TEST_P(CaptureParts, TheSmallestCaptureShowsTheDecision) {
-    const Seeds seeds(4);
+    const SeedRange seeds(4);
     std::size_t before = 0, after = 0;
     for (std::uint64_t seed = seeds.first; seed < seeds.last; ++seed) {
         const Segment segment = written_down(GetParam(), seed, 120);
@@ -102,7 +102,7 @@
 class CaptureChange : public ::testing::Test {
 protected:
     CaptureChange() {
-        static const Variant usual{"usual", [](Settings&) {}, 0.6};
+        static const TrafficVariant usual{"usual", [](Settings&) {}, 0.6};
         segment = written_down(usual, 11, 250);
     }
     Segment segment;
@@ -120,7 +120,8 @@
 TEST_F(CaptureChange, AnswersLaterAreStillOneEach) {
     for (const Time by : {ms(5), ms(400), ms(60'000)}) {
         capture::Change change;
-        for (EndpointId id = 0; id < Both<WrittenDown>::kEndpoints; ++id) change.answers_later[id] = by;
+        for (EndpointId id = 0; id < DifferentialRun<WrittenDown>::kEndpoints; ++id)
+            change.answers_later[id] = by;
         const Segment later = capture::changed(segment, change);
         std::map<MessageId, std::size_t> then, now;
         std::size_t none = 0, none_then = 0;
--- a/tests/capture_test.cpp
+++ b/tests/capture_test.cpp
@@ -42,26 +42,26 @@
     std::size_t batches_ = 0;
 };
 
-class Captured : public ::testing::TestWithParam<Variant> {};
-INSTANTIATE_TEST_SUITE_P(Capture, Captured, ::testing::ValuesIn(variants()),
+class Captured : public ::testing::TestWithParam<TrafficVariant> {};
+INSTANTIATE_TEST_SUITE_P(Capture, Captured, ::testing::ValuesIn(traffic_variants()),
     [](const auto& info) { return std::string(info.param.name); });
 
 TEST_P(Captured, AMemoryIsAllThatThereIs) {
-    const Seeds seeds(20);
+    const SeedRange seeds(20);
     for (std::uint64_t seed = seeds.first; seed < seeds.last; ++seed) {
-        Both<Forgetful> both(GetParam(), seed);
+        DifferentialRun<Forgetful> both(GetParam(), seed);
         std::string told;
         ASSERT_TRUE(both.run(250, told)) << "seed " << seed << ": " << told;
     }
 }
 
 TEST_P(Captured, IsDecidedAlike) {
-    const Seeds seeds(20);
+    const SeedRange seeds(20);
     for (std::uint64_t seed = seeds.first; seed < seeds.last; ++seed) {
-        Both<WrittenDown> both(GetParam(), seed);
+        DifferentialRun<WrittenDown> both(GetParam(), seed);
         std::string told;
         ASSERT_TRUE(both.run(250, told)) << "seed " << seed << ": " << told;
-        const auto segment = capture::segment_of(both.other().bytes());
+        const auto segment = capture::segment_of(both.other_module().bytes());
         EXPECT_TRUE(segment.damage.empty());
         ASSERT_EQ(segment.whole(), 210u) << "seed " << seed;
         const auto difference = capture::first_difference(segment);
@@ -72,11 +72,11 @@
 class CaptureFile : public ::testing::Test {
 protected:
     CaptureFile() {
-        static const Variant usual{"usual", [](Settings&) {}, 0.6};
-        Both<WrittenDown> both(usual, 7);
+        static const TrafficVariant usual{"usual", [](Settings&) {}, 0.6};
+        DifferentialRun<WrittenDown> both(usual, 7);
         std::string told;
         EXPECT_TRUE(both.run(100, told)) << told;
-        bytes = both.other().bytes();
+        bytes = both.other_module().bytes();
     }
     std::string bytes;
 };
--- a/tests/helpers.hpp
+++ b/tests/helpers.hpp
@@ -47,7 +47,7 @@
 }
 
 template <class T>
-std::vector<T> all(const std::vector<Action>& actions) {
+std::vector<T> actions_of(const std::vector<Action>& actions) {
     std::vector<T> found;
     for (const Action& action : actions)
         if (const auto* one = std::get_if<T>(&action)) found.push_back(*one);
@@ -55,13 +55,13 @@
 }
 
 /// A Sender with a clock, and events in few words.
-class Rig {
+class SenderHarness {
 public:
-    explicit Rig(Settings settings = make_settings(), std::uint64_t seed = 1)
+    explicit SenderHarness(Settings settings = make_settings(), std::uint64_t seed = 1)
         : sender(std::move(settings), seed) {}
 
-    void list(EndpointId endpoint, DestinationId destination, std::size_t kind = 0, double rate = 0.0,
-        Condition condition = Condition::Ready, std::size_t zone = 0) {
+    void list_endpoint(EndpointId endpoint, DestinationId destination, std::size_t kind = 0,
+        double rate = 0.0, Condition condition = Condition::Ready, std::size_t zone = 0) {
         ListEvent event;
         event.kind = ListKind::Changes;
         event.entries.push_back({endpoint, destination, zone, kind, rate, condition});
@@ -71,7 +71,7 @@
         std::optional<std::uint64_t> key = std::nullopt, Time left = ms(20000)) {
         sender.observe(MessageEvent{message, destination, message_class, std::nullopt, key, left}, now);
     }
-    void outcome(const Send& send, Outcome result, std::uint32_t attempt = 0, Time wait = Time(0),
+    void report_outcome(const Send& send, Outcome result, std::uint32_t attempt = 0, Time wait = Time(0),
         Time rtt = ms(100), std::optional<LoadReport> report = std::nullopt) {
         OutcomeEvent event;
         event.message = send.message;
@@ -85,18 +85,18 @@
         sender.observe(event, now);
     }
     std::vector<Action> decide() { return sender.decide(now); }
-    std::vector<Send> sends() { return all<Send>(decide()); }
-    std::vector<MessageId> sent() {
+    std::vector<Send> decide_sends() { return actions_of<Send>(decide()); }
+    std::vector<MessageId> decide_sent_ids() {
         std::vector<MessageId> ids;
-        for (const Send& send : sends()) ids.push_back(send.message);
+        for (const Send& send : decide_sends()) ids.push_back(send.message);
         return ids;
     }
     /// Lets time pass in steps, deciding at each, and returns the sends with their times.
-    std::vector<std::pair<Time, Send>> pass(Time span, Time step = ms(10)) {
+    std::vector<std::pair<Time, Send>> advance(Time span, Time step = ms(10)) {
         std::vector<std::pair<Time, Send>> found;
         for (const Time end = now + span; now < end;) {
             now += step;
-            for (const Send& send : sends()) found.emplace_back(now, send);
+            for (const Send& send : decide_sends()) found.emplace_back(now, send);
         }
         return found;
     }
--- a/tests/logic_test.cpp
+++ b/tests/logic_test.cpp
@@ -18,18 +18,18 @@
     Settings settings = make_settings();
     settings.slots = 1;
     settings.listed_rates = true;
-    Rig rig(settings);
-    rig.list(0, 1, 0, 1.0);
-    rig.list(1, 2, 0, 0.5);
-    for (MessageId id = 1; id <= 9; ++id) rig.arrive(id, 1);
-    for (MessageId id = 11; id <= 19; ++id) rig.arrive(id, 2);
+    SenderHarness harness(settings);
+    harness.list_endpoint(0, 1, 0, 1.0);
+    harness.list_endpoint(1, 2, 0, 0.5);
+    for (MessageId id = 1; id <= 9; ++id) harness.arrive(id, 1);
+    for (MessageId id = 11; id <= 19; ++id) harness.arrive(id, 2);
     Ids order;
     for (int i = 0; i < 9; ++i) {
-        const auto out = rig.sends();
+        const auto out = harness.decide_sends();
         ASSERT_EQ(out.size(), 1u);
         order.push_back(out[0].message < 10 ? 1 : 2);
-        rig.now += ms(700);
-        rig.outcome(out[0], Outcome::Served, 0, Time(0), ms(700));
+        harness.now += ms(700);
+        harness.report_outcome(out[0], Outcome::Served, 0, Time(0), ms(700));
     }
     EXPECT_EQ(order, (Ids{1, 2, 1, 2, 1, 1, 2, 1, 1}));
 }
@@ -39,12 +39,12 @@
     Settings settings = make_settings();
     settings.listed_rates = true;
     settings.n_instances = 7;
-    Rig rig(settings);
-    rig.list(0, 1, 0, 1.4);
-    for (MessageId id = 1; id <= 4; ++id) rig.arrive(id, 1);
-    EXPECT_EQ(rig.sent(), Ids{1});
-    const Time start = rig.now;
-    const auto later = rig.pass(ms(1600), ms(1));
+    SenderHarness harness(settings);
+    harness.list_endpoint(0, 1, 0, 1.4);
+    for (MessageId id = 1; id <= 4; ++id) harness.arrive(id, 1);
+    EXPECT_EQ(harness.decide_sent_ids(), Ids{1});
+    const Time start = harness.now;
+    const auto later = harness.advance(ms(1600), ms(1));
     ASSERT_EQ(later.size(), 2u);
     const Time first_gap = later[0].first - start;
     EXPECT_LE(later[1].first - later[0].first, first_gap);
@@ -63,21 +63,21 @@
     settings.floor_per_s = 1.0;
     settings.listed_rates = true;
     settings.n_instances = 1;
-    Rig rig(settings);
-    rig.list(0, 1, 0, 1000.0);
-    rig.list(1, 2, 0, 2.0);
-    for (MessageId id = 1; id <= 8; ++id) rig.arrive(id, 1);
-    for (MessageId id = 11; id <= 14; ++id) rig.arrive(id, 2);
+    SenderHarness harness(settings);
+    harness.list_endpoint(0, 1, 0, 1000.0);
+    harness.list_endpoint(1, 2, 0, 2.0);
+    for (MessageId id = 1; id <= 8; ++id) harness.arrive(id, 1);
+    for (MessageId id = 11; id <= 14; ++id) harness.arrive(id, 2);
     Ids order;
     for (int i = 0; i < 12; ++i) {
-        const auto out = rig.sends();
+        const auto out = harness.decide_sends();
         if (out.empty()) {
-            rig.now += ms(300);
+            harness.now += ms(300);
             continue;
         }
         order.push_back(out[0].message);
-        rig.now += ms(300);
-        rig.outcome(out[0], Outcome::Served);
+        harness.now += ms(300);
+        harness.report_outcome(out[0], Outcome::Served);
     }
     ASSERT_GE(order.size(), 5u);
     order.resize(5);
@@ -85,39 +85,39 @@
 }
 
 TEST(Tags, ArrivalOrderWithinDestination) {
-    Rig rig;
-    rig.list(0, 1);
-    for (MessageId id = 5; id > 0; --id) rig.arrive(id, 1);
-    EXPECT_EQ(rig.sent(), (Ids{5, 4, 3, 2, 1}));
+    SenderHarness harness;
+    harness.list_endpoint(0, 1);
+    for (MessageId id = 5; id > 0; --id) harness.arrive(id, 1);
+    EXPECT_EQ(harness.decide_sent_ids(), (Ids{5, 4, 3, 2, 1}));
 }
 
 // A newcomer after long idleness starts level and does not burst ahead of the one that was busy.
 TEST(Tags, ReactivationStartsLevel) {
     Settings settings = make_settings();
     settings.slots = 2;
-    Rig rig(settings);
-    rig.list(0, 1);
-    rig.list(1, 2);
-    for (MessageId id = 1; id <= 20; ++id) rig.arrive(id, 1);
-    auto out = rig.sends();
+    SenderHarness harness(settings);
+    harness.list_endpoint(0, 1);
+    harness.list_endpoint(1, 2);
+    for (MessageId id = 1; id <= 20; ++id) harness.arrive(id, 1);
+    auto out = harness.decide_sends();
     for (int i = 0; i < 5; ++i) {
-        rig.now += ms(1000);
-        rig.outcome(out[0], Outcome::Served);
-        out = rig.sends();
+        harness.now += ms(1000);
+        harness.report_outcome(out[0], Outcome::Served);
+        out = harness.decide_sends();
         ASSERT_EQ(out.size(), 1u);
     }
-    for (MessageId id = 101; id <= 110; ++id) rig.arrive(id, 2);
+    for (MessageId id = 101; id <= 110; ++id) harness.arrive(id, 2);
     out = {out[0]};
-    const auto second = rig.sends();
+    const auto second = harness.decide_sends();
     ASSERT_EQ(second.size(), 1u);
     EXPECT_EQ(second[0].message, 101u);
     int newcomer = 0;
     std::vector<Send> busy{out[0], second[0]};
     for (int i = 0; i < 8; ++i) {
-        rig.now += ms(1000);
-        rig.outcome(busy[0], Outcome::Served);
+        harness.now += ms(1000);
+        harness.report_outcome(busy[0], Outcome::Served);
         busy.erase(busy.begin());
-        const auto next = rig.sends();
+        const auto next = harness.decide_sends();
         ASSERT_EQ(next.size(), 1u);
         newcomer += next[0].message > 100;
         busy.push_back(next[0]);
@@ -131,36 +131,36 @@
     Settings settings = make_settings();
     settings.listed_rates = true;
     settings.n_instances = 7;
-    Rig rig(settings);
-    rig.list(0, 1, 0, 1.0);
-    for (MessageId id = 1; id <= 5; ++id) rig.arrive(id, 1);
-    const auto first = rig.sends();
+    SenderHarness harness(settings);
+    harness.list_endpoint(0, 1, 0, 1.0);
+    for (MessageId id = 1; id <= 5; ++id) harness.arrive(id, 1);
+    const auto first = harness.decide_sends();
     EXPECT_EQ(first.size(), 1u);
-    rig.now += ms(5000);
-    rig.outcome(first[0], Outcome::Served);
-    const auto burst = rig.sends();
+    harness.now += ms(5000);
+    harness.report_outcome(first[0], Outcome::Served);
+    const auto burst = harness.decide_sends();
     ASSERT_EQ(burst.size(), 2u);
-    for (const Send& send : burst) rig.outcome(send, Outcome::Served);
-    EXPECT_TRUE(rig.pass(ms(980)).empty());
-    EXPECT_EQ(rig.pass(ms(40)).size(), 1u);
+    for (const Send& send : burst) harness.report_outcome(send, Outcome::Served);
+    EXPECT_TRUE(harness.advance(ms(980)).empty());
+    EXPECT_EQ(harness.advance(ms(40)).size(), 1u);
 }
 
 // Weak spot: repeats of an erroring destination must not take the turns of the others.
 TEST(Tags, RepeatsLeaveTheTurnsToOthers) {
     Settings settings = make_settings();
     settings.slots = 1;
-    Rig rig(settings);
-    rig.list(0, 1);
-    rig.list(1, 2);
-    for (MessageId id = 1; id <= 9; ++id) rig.arrive(id, 1);
-    for (MessageId id = 11; id <= 19; ++id) rig.arrive(id, 2);
+    SenderHarness harness(settings);
+    harness.list_endpoint(0, 1);
+    harness.list_endpoint(1, 2);
+    for (MessageId id = 1; id <= 9; ++id) harness.arrive(id, 1);
+    for (MessageId id = 11; id <= 19; ++id) harness.arrive(id, 2);
     std::map<MessageId, std::uint32_t> tries;
     int failing = 0, healthy = 0;
-    for (int i = 0; i < 400 && healthy < 9; ++i, rig.now += ms(10)) {
-        for (const Send& send : rig.sends()) {
+    for (int i = 0; i < 400 && healthy < 9; ++i, harness.now += ms(10)) {
+        for (const Send& send : harness.decide_sends()) {
             const bool bad = send.message < 10;
             (bad ? failing : healthy)++;
-            rig.outcome(
+            harness.report_outcome(
                 send, bad ? Outcome::ServerError : Outcome::Served, tries[send.message]++, Time(0), ms(10));
         }
     }
@@ -169,86 +169,86 @@
 }
 
 TEST(Cap, UnderThreeQuartersOfTheSlots) {
-    Rig rig;  // 8 slots: five calls stay under 3/4, six would not
-    rig.list(0, 1);
-    for (MessageId id = 1; id <= 8; ++id) rig.arrive(id, 1);
-    EXPECT_EQ(rig.sent().size(), 5u);
+    SenderHarness harness;  // 8 slots: five calls stay under 3/4, six would not
+    harness.list_endpoint(0, 1);
+    for (MessageId id = 1; id <= 8; ++id) harness.arrive(id, 1);
+    EXPECT_EQ(harness.decide_sent_ids().size(), 5u);
 }
 
 TEST(Cap, SickDestinationsTogetherHoldHalf) {
-    Rig rig;
-    for (EndpointId id = 0; id < 6; ++id) rig.list(id, id);
+    SenderHarness harness;
+    for (EndpointId id = 0; id < 6; ++id) harness.list_endpoint(id, id);
     MessageId next = 1;
-    for (int i = 0; i < 6; ++i) rig.arrive(next++, i);
-    EXPECT_EQ(rig.sends().size(), 6u);
+    for (int i = 0; i < 6; ++i) harness.arrive(next++, i);
+    EXPECT_EQ(harness.decide_sends().size(), 6u);
     const auto trials =
-        rig.pass(ms(8000));  // all silent: sick; the held messages may use half of the slots at most
-    for (int i = 0; i < 6; ++i) rig.arrive(next++, i);
+        harness.advance(ms(8000));  // all silent: sick; the held messages may use half of the slots at most
+    for (int i = 0; i < 6; ++i) harness.arrive(next++, i);
     EXPECT_TRUE(trials.empty());
-    EXPECT_TRUE(rig.sends().empty());
-    rig.list(9, 9);
-    rig.arrive(99, 9);
-    EXPECT_EQ(rig.sent(), Ids{99});
+    EXPECT_TRUE(harness.decide_sends().empty());
+    harness.list_endpoint(9, 9);
+    harness.arrive(99, 9);
+    EXPECT_EQ(harness.decide_sent_ids(), Ids{99});
 }
 
 // ---- rules ----
 
 TEST(Answers, EndsAtTheDeadlineHeldOrOut) {
-    Rig rig;
-    rig.list(0, 1);
-    rig.arrive(1, 1, kFragile, std::nullopt, ms(500));
-    rig.arrive(2, 7, kRetryable, std::nullopt, ms(500));  // no endpoint
-    EXPECT_EQ(rig.sent(), Ids{1});
-    rig.now += ms(499);
-    EXPECT_TRUE(all<Fail>(rig.decide()).empty());
-    rig.now += ms(1);
-    EXPECT_EQ(all<Fail>(rig.decide()).size(), 2u);
+    SenderHarness harness;
+    harness.list_endpoint(0, 1);
+    harness.arrive(1, 1, kFragile, std::nullopt, ms(500));
+    harness.arrive(2, 7, kRetryable, std::nullopt, ms(500));  // no endpoint
+    EXPECT_EQ(harness.decide_sent_ids(), Ids{1});
+    harness.now += ms(499);
+    EXPECT_TRUE(actions_of<Fail>(harness.decide()).empty());
+    harness.now += ms(1);
+    EXPECT_EQ(actions_of<Fail>(harness.decide()).size(), 2u);
 }
 
 TEST(Answers, AsksForATimerAtTheDeadline) {
-    Rig rig;
-    rig.arrive(1, 7, kRetryable, std::nullopt, ms(500));
-    const auto timers = all<SetTimer>(rig.decide());
+    SenderHarness harness;
+    harness.arrive(1, 7, kRetryable, std::nullopt, ms(500));
+    const auto timers = actions_of<SetTimer>(harness.decide());
     ASSERT_EQ(timers.size(), 1u);
     EXPECT_EQ(timers[0].delay, ms(500));
 }
 
 TEST(Effects, FragileEndsAfterDoubtWithAFailure) {
-    Rig rig;
-    rig.list(0, 1);
-    rig.arrive(1, 1, kFragile);
-    const auto out = rig.sends();
-    rig.now += ms(100);
-    rig.outcome(out[0], Outcome::ServerError);
-    const auto actions = rig.decide();
-    EXPECT_EQ(all<Fail>(actions).size(), 1u);
-    EXPECT_TRUE(all<Refuse>(actions).empty());
+    SenderHarness harness;
+    harness.list_endpoint(0, 1);
+    harness.arrive(1, 1, kFragile);
+    const auto out = harness.decide_sends();
+    harness.now += ms(100);
+    harness.report_outcome(out[0], Outcome::ServerError);
+    const auto actions = harness.decide();
+    EXPECT_EQ(actions_of<Fail>(actions).size(), 1u);
+    EXPECT_TRUE(actions_of<Refuse>(actions).empty());
 }
 
 TEST(Effects, FragileGoesAgainAfterProvenNotRun) {
-    Rig rig;
-    rig.list(0, 1);
-    rig.arrive(1, 1, kFragile);
-    const auto out = rig.sends();
-    rig.now += ms(100);
-    rig.outcome(out[0], Outcome::TurnedAway);
-    EXPECT_EQ(rig.pass(ms(500)).size(), 1u);
+    SenderHarness harness;
+    harness.list_endpoint(0, 1);
+    harness.arrive(1, 1, kFragile);
+    const auto out = harness.decide_sends();
+    harness.now += ms(100);
+    harness.report_outcome(out[0], Outcome::TurnedAway);
+    EXPECT_EQ(harness.advance(ms(500)).size(), 1u);
 }
 
 TEST(Effects, DedupOnlyInsideItsWindowFromTheSend) {
     for (const bool inside : {true, false}) {
-        Rig rig;
-        rig.list(0, 1);
-        rig.list(1, 1);
-        rig.arrive(1, 1, kDedup);
-        const auto out = rig.sends();
-        rig.now += inside ? ms(4700) : ms(4950);
-        rig.outcome(out[0], Outcome::ConnectionLost);
+        SenderHarness harness;
+        harness.list_endpoint(0, 1);
+        harness.list_endpoint(1, 1);
+        harness.arrive(1, 1, kDedup);
+        const auto out = harness.decide_sends();
+        harness.now += inside ? ms(4700) : ms(4950);
+        harness.report_outcome(out[0], Outcome::ConnectionLost);
         int sends = 0, ends = 0;
-        for (int i = 0; i < 30; ++i, rig.now += ms(10)) {
-            const auto actions = rig.decide();
-            sends += static_cast<int>(all<Send>(actions).size());
-            ends += static_cast<int>(all<Refuse>(actions).size() + all<Fail>(actions).size());
+        for (int i = 0; i < 30; ++i, harness.now += ms(10)) {
+            const auto actions = harness.decide();
+            sends += static_cast<int>(actions_of<Send>(actions).size());
+            ends += static_cast<int>(actions_of<Refuse>(actions).size() + actions_of<Fail>(actions).size());
         }
         EXPECT_EQ(sends, inside ? 1 : 0);
         EXPECT_EQ(ends, inside ? 0 : 1);
@@ -258,27 +258,28 @@
 TEST(Effects, DedupZoneScopeStaysInItsZone) {
     Settings settings = make_settings();
     settings.classes[kDedup].dedup_scope = DedupScope::Zone;
-    Rig rig(settings);
-    rig.list(0, 1);
-    rig.arrive(1, 1, kDedup);
-    const auto out = rig.sends();
-    rig.list(1, 1, 0, 0.0, Condition::Ready, 1);
-    rig.list(0, 1, 0, 0.0, Condition::Gone);
-    rig.now += ms(100);
-    rig.outcome(out[0], Outcome::ServerError);
-    EXPECT_TRUE(rig.pass(ms(3000)).empty());
+    SenderHarness harness(settings);
+    harness.list_endpoint(0, 1);
+    harness.arrive(1, 1, kDedup);
+    const auto out = harness.decide_sends();
+    harness.list_endpoint(1, 1, 0, 0.0, Condition::Ready, 1);
+    harness.list_endpoint(0, 1, 0, 0.0, Condition::Gone);
+    harness.now += ms(100);
+    harness.report_outcome(out[0], Outcome::ServerError);
+    EXPECT_TRUE(harness.advance(ms(3000)).empty());
 }
 
 TEST(Effects, StopsAtMaxAttempts) {
-    Rig rig;
-    rig.list(0, 1);
-    rig.arrive(1, 1);
+    SenderHarness harness;
+    harness.list_endpoint(0, 1);
+    harness.arrive(1, 1);
     std::uint32_t attempt = 0;
     int ends = 0;
-    for (int i = 0; i < 1500 && ends == 0; ++i, rig.now += ms(10)) {
-        const auto actions = rig.decide();
-        for (const Send& send : all<Send>(actions)) rig.outcome(send, Outcome::ServerError, attempt++);
-        ends += static_cast<int>(all<Refuse>(actions).size() + all<Fail>(actions).size());
+    for (int i = 0; i < 1500 && ends == 0; ++i, harness.now += ms(10)) {
+        const auto actions = harness.decide();
+        for (const Send& send : actions_of<Send>(actions))
+            harness.report_outcome(send, Outcome::ServerError, attempt++);
+        ends += static_cast<int>(actions_of<Refuse>(actions).size() + actions_of<Fail>(actions).size());
     }
     EXPECT_EQ(attempt, 4u);
     EXPECT_EQ(ends, 1);
@@ -286,90 +287,90 @@
 
 TEST(Drains, NothingToDrainingOrGone) {
     for (const Condition condition : {Condition::Draining, Condition::Gone}) {
-        Rig rig;
-        rig.list(0, 1);
-        rig.list(0, 1, 0, 0.0, condition);
-        rig.arrive(1, 1);
-        EXPECT_TRUE(rig.sends().empty());
-        rig.list(1, 1);
-        EXPECT_EQ(rig.sent(), Ids{1});
+        SenderHarness harness;
+        harness.list_endpoint(0, 1);
+        harness.list_endpoint(0, 1, 0, 0.0, condition);
+        harness.arrive(1, 1);
+        EXPECT_TRUE(harness.decide_sends().empty());
+        harness.list_endpoint(1, 1);
+        EXPECT_EQ(harness.decide_sent_ids(), Ids{1});
     }
 }
 
 TEST(Drains, AWholeListReplacesTheOldOne) {
-    Rig rig;
-    rig.list(0, 1);
-    rig.sender.observe(ListEvent{ListKind::Full, {{1, 2, 0, 0, 0.0, Condition::Ready}}}, rig.now);
-    rig.arrive(1, 1);
-    rig.arrive(2, 2);
-    EXPECT_EQ(rig.sent(), Ids{2});
+    SenderHarness harness;
+    harness.list_endpoint(0, 1);
+    harness.sender.observe(ListEvent{ListKind::Full, {{1, 2, 0, 0, 0.0, Condition::Ready}}}, harness.now);
+    harness.arrive(1, 1);
+    harness.arrive(2, 2);
+    EXPECT_EQ(harness.decide_sent_ids(), Ids{2});
 }
 
 TEST(Waits, ToldWaitIsKeptForTheWholeDestination) {
-    Rig rig;
-    rig.list(0, 1);
-    rig.list(1, 1);
-    rig.arrive(1, 1);
-    const auto out = rig.sends();
-    rig.outcome(out[0], Outcome::TurnedAway, 0, ms(700));
-    rig.arrive(2, 1);
-    EXPECT_TRUE(rig.pass(ms(690)).empty());
-    EXPECT_EQ(rig.pass(ms(300)).size(), 2u);
+    SenderHarness harness;
+    harness.list_endpoint(0, 1);
+    harness.list_endpoint(1, 1);
+    harness.arrive(1, 1);
+    const auto out = harness.decide_sends();
+    harness.report_outcome(out[0], Outcome::TurnedAway, 0, ms(700));
+    harness.arrive(2, 1);
+    EXPECT_TRUE(harness.advance(ms(690)).empty());
+    EXPECT_EQ(harness.advance(ms(300)).size(), 2u);
 }
 
 TEST(Waits, OfARouteApartBindsThatRouteOnly) {
-    Rig rig;
-    rig.list(0, 1, 1);
-    rig.list(1, 1, 1);
-    rig.arrive(1, 1);
-    const auto out = rig.sends();
-    rig.outcome(out[0], Outcome::TurnedAway, 0, ms(700));
-    rig.arrive(2, 1);
-    const auto next = rig.sends();
+    SenderHarness harness;
+    harness.list_endpoint(0, 1, 1);
+    harness.list_endpoint(1, 1, 1);
+    harness.arrive(1, 1);
+    const auto out = harness.decide_sends();
+    harness.report_outcome(out[0], Outcome::TurnedAway, 0, ms(700));
+    harness.arrive(2, 1);
+    const auto next = harness.decide_sends();
     ASSERT_EQ(next.size(), 1u);
     EXPECT_NE(next[0].endpoint, out[0].endpoint);
 }
 
 // Found on the standard days: each message of one call may be told its own wait, the longest binds.
 TEST(Waits, EveryMessageOfACallIsHeard) {
-    Rig rig;
-    rig.list(0, 1, 2);
-    for (MessageId id = 1; id <= 3; ++id) rig.arrive(id, 1);
-    const auto out = rig.sends();
+    SenderHarness harness;
+    harness.list_endpoint(0, 1, 2);
+    for (MessageId id = 1; id <= 3; ++id) harness.arrive(id, 1);
+    const auto out = harness.decide_sends();
     ASSERT_EQ(out.size(), 3u);
-    rig.outcome(out[0], Outcome::TurnedAway, 0, ms(300));
-    rig.outcome(out[1], Outcome::TurnedAway, 0, ms(600));
-    rig.outcome(out[2], Outcome::TurnedAway, 0, ms(400));
-    EXPECT_TRUE(rig.pass(ms(590)).empty());
-    EXPECT_FALSE(rig.pass(ms(200)).empty());
+    harness.report_outcome(out[0], Outcome::TurnedAway, 0, ms(300));
+    harness.report_outcome(out[1], Outcome::TurnedAway, 0, ms(600));
+    harness.report_outcome(out[2], Outcome::TurnedAway, 0, ms(400));
+    EXPECT_TRUE(harness.advance(ms(590)).empty());
+    EXPECT_FALSE(harness.advance(ms(200)).empty());
 }
 
 TEST(Order, OneAtATimeInArrivalOrder) {
-    Rig rig;
-    rig.list(0, 1);
-    rig.arrive(1, 1, kSequential, 42);
-    rig.arrive(2, 1, kSequential, 42);
-    rig.arrive(3, 1, kSequential, 43);
-    const auto out = rig.sends();
+    SenderHarness harness;
+    harness.list_endpoint(0, 1);
+    harness.arrive(1, 1, kSequential, 42);
+    harness.arrive(2, 1, kSequential, 42);
+    harness.arrive(3, 1, kSequential, 43);
+    const auto out = harness.decide_sends();
     ASSERT_EQ(out.size(), 2u);
     EXPECT_EQ(out[0].message, 1u);
     EXPECT_EQ(out[1].message, 3u);
-    rig.outcome(out[0], Outcome::Served);
-    EXPECT_EQ(rig.sent(), Ids{2});
+    harness.report_outcome(out[0], Outcome::Served);
+    EXPECT_EQ(harness.decide_sent_ids(), Ids{2});
 }
 
 TEST(Order, RestsAfterADoubtfulEnd) {
-    Rig rig;
-    rig.list(0, 1);
-    rig.arrive(1, 1, kSequential, 42, ms(1000));
-    rig.arrive(2, 1, kSequential, 42);
-    const auto out = rig.sends();
+    SenderHarness harness;
+    harness.list_endpoint(0, 1);
+    harness.arrive(1, 1, kSequential, 42, ms(1000));
+    harness.arrive(2, 1, kSequential, 42);
+    const auto out = harness.decide_sends();
     ASSERT_EQ(out.size(), 1u);
-    rig.now += ms(1000);
-    EXPECT_TRUE(rig.sends().empty());  // the first is given up, its attempt has no outcome yet
-    rig.outcome(out[0], Outcome::NoAnswer);
-    EXPECT_TRUE(rig.pass(ms(290)).empty());
-    EXPECT_EQ(rig.pass(ms(3000)).size(), 1u);
+    harness.now += ms(1000);
+    EXPECT_TRUE(harness.decide_sends().empty());  // the first is given up, its attempt has no outcome yet
+    harness.report_outcome(out[0], Outcome::NoAnswer);
+    EXPECT_TRUE(harness.advance(ms(290)).empty());
+    EXPECT_EQ(harness.advance(ms(3000)).size(), 1u);
 }
 
 // After an outage the sends of any window stay within multiple x present capacity x window x the own part.
@@ -377,20 +378,20 @@
     Settings settings = make_settings();
     settings.listed_rates = true;
     settings.n_instances = 2;
-    Rig rig(settings);
-    rig.list(0, 1, 0, 20.0);
+    SenderHarness harness(settings);
+    harness.list_endpoint(0, 1, 0, 20.0);
     MessageId next = 1;
-    for (int i = 0; i < 60; ++i) rig.arrive(next++, 1);
+    for (int i = 0; i < 60; ++i) harness.arrive(next++, 1);
     std::vector<Time> sent;
     std::map<MessageId, std::uint32_t> tries;
-    const Time back = rig.now + ms(5000);
-    while (rig.now < back + ms(8000)) {
-        rig.now += ms(10);
-        for (const Send& send : rig.sends()) {
-            if (rig.now >= back) sent.push_back(rig.now);
-            rig.outcome(send, rig.now < back ? Outcome::ConnectionLost : Outcome::Served,
+    const Time back = harness.now + ms(5000);
+    while (harness.now < back + ms(8000)) {
+        harness.now += ms(10);
+        for (const Send& send : harness.decide_sends()) {
+            if (harness.now >= back) sent.push_back(harness.now);
+            harness.report_outcome(send, harness.now < back ? Outcome::ConnectionLost : Outcome::Served,
                 tries[send.message]++, Time(0), ms(10));
-            rig.arrive(next++, 1);
+            harness.arrive(next++, 1);
         }
     }
     ASSERT_GT(sent.size(), 5u);
@@ -406,40 +407,40 @@
 // ---- health and overload ----
 
 TEST(Health, SilenceShowsBeforeAnyTimeOut) {
-    Rig rig;
-    rig.list(0, 1);
-    rig.arrive(1, 1);
-    auto out = rig.sends();
-    rig.now += ms(100);
-    rig.outcome(out[0], Outcome::Served);
-    rig.arrive(2, 1);
-    EXPECT_EQ(rig.sends().size(), 1u);
-    rig.pass(ms(800));  // eight usual times without an answer
-    rig.arrive(3, 1, kFragile);
-    EXPECT_TRUE(rig.sends().empty());
+    SenderHarness harness;
+    harness.list_endpoint(0, 1);
+    harness.arrive(1, 1);
+    auto out = harness.decide_sends();
+    harness.now += ms(100);
+    harness.report_outcome(out[0], Outcome::Served);
+    harness.arrive(2, 1);
+    EXPECT_EQ(harness.decide_sends().size(), 1u);
+    harness.advance(ms(800));  // eight usual times without an answer
+    harness.arrive(3, 1, kFragile);
+    EXPECT_TRUE(harness.decide_sends().empty());
 }
 
 // Incident i02431b: a destination that is down must not fill the room of the others.
 TEST(Overload, ShedsForTheDestinationThatIsDown) {
     Settings settings = make_settings();
     settings.most_held = 20;
-    Rig rig(settings);
-    rig.list(0, 1);
-    rig.list(1, 2);
+    SenderHarness harness(settings);
+    harness.list_endpoint(0, 1);
+    harness.list_endpoint(1, 2);
     MessageId next = 1;
     for (int i = 0; i < 3; ++i) {
-        rig.arrive(next++, 1);
-        for (const Send& send : rig.sends()) rig.outcome(send, Outcome::NoConnection);
-        rig.now += ms(100);
-        rig.decide();
+        harness.arrive(next++, 1);
+        for (const Send& send : harness.decide_sends()) harness.report_outcome(send, Outcome::NoConnection);
+        harness.now += ms(100);
+        harness.decide();
     }
-    for (int i = 0; i < 12; ++i) rig.arrive(next++, 1);
-    rig.decide();
-    rig.now += ms(3000);
+    for (int i = 0; i < 12; ++i) harness.arrive(next++, 1);
+    harness.decide();
+    harness.now += ms(3000);
     std::vector<MessageId> refused;
     for (MessageId id = 100; id < 112; ++id) {
-        rig.arrive(id, 2);
-        for (const Refuse& refuse : all<Refuse>(rig.decide())) refused.push_back(refuse.message);
+        harness.arrive(id, 2);
+        for (const Refuse& refuse : actions_of<Refuse>(harness.decide())) refused.push_back(refuse.message);
     }
     EXPECT_FALSE(refused.empty());
     for (const MessageId id : refused) EXPECT_LT(id, 100u);
@@ -447,13 +448,14 @@
 
 // Incident ife484d: a call that is only slow is left out while nothing better can be done.
 TEST(TimeOuts, ASlowCallIsNotRepeatedWithoutReason) {
-    Rig rig;
-    rig.list(0, 1);
-    rig.arrive(1, 1);
-    const auto out = rig.sends();
+    SenderHarness harness;
+    harness.list_endpoint(0, 1);
+    harness.arrive(1, 1);
+    const auto out = harness.decide_sends();
     ASSERT_EQ(out.size(), 1u);
     EXPECT_EQ(out[0].time_out, ms(20000));
-    for (int i = 0; i < 100; ++i, rig.now += ms(100)) EXPECT_TRUE(all<CancelAttempt>(rig.decide()).empty());
+    for (int i = 0; i < 100; ++i, harness.now += ms(100))
+        EXPECT_TRUE(actions_of<CancelAttempt>(harness.decide()).empty());
 }
 
 // Incident i94fd2c: while the backlog outlasts an aim, what loses most by waiting goes before what keeps its
@@ -464,31 +466,32 @@
         settings.slots = 2;
         settings.loses_worth = LateWorth::Halving;
         settings.classes[kDedup].late_worth = 1.0;  // keeps all its worth
-        Rig rig(settings);
-        rig.list(0, 1);
+        SenderHarness harness(settings);
+        harness.list_endpoint(0, 1);
         for (MessageId id = 1; id <= 3; ++id) {  // two a second
-            rig.arrive(id, 1);
-            const auto out = rig.sends();
+            harness.arrive(id, 1);
+            const auto out = harness.decide_sends();
             ASSERT_EQ(out.size(), 1u);
-            rig.now += ms(500);
-            rig.outcome(out[0], Outcome::Served, 0, Time(0), ms(500));
+            harness.now += ms(500);
+            harness.report_outcome(out[0], Outcome::Served, 0, Time(0), ms(500));
         }
-        for (MessageId id = 4; id < (backlog ? 12u : 5u); ++id) rig.arrive(id, 1, kDedup);
-        rig.arrive(50, 1, kRetryable);
-        EXPECT_EQ(rig.sent(), (Ids{backlog ? MessageId{50} : MessageId{4}}));
+        for (MessageId id = 4; id < (backlog ? 12u : 5u); ++id) harness.arrive(id, 1, kDedup);
+        harness.arrive(50, 1, kRetryable);
+        EXPECT_EQ(harness.decide_sent_ids(), (Ids{backlog ? MessageId{50} : MessageId{4}}));
     }
 }
 
 // One call to each of so many destinations, none answered for six seconds: how many are dropped.
 std::size_t dropped_when_silent(std::size_t destinations, std::size_t message_class) {
-    Rig rig;  // 8 slots
+    SenderHarness harness;  // 8 slots
     for (EndpointId id = 0; id < destinations; ++id) {
-        rig.list(id, id);
-        rig.arrive(id + 1, id, message_class);
+        harness.list_endpoint(id, id);
+        harness.arrive(id + 1, id, message_class);
     }
-    EXPECT_EQ(rig.sends().size(), destinations);
+    EXPECT_EQ(harness.decide_sends().size(), destinations);
     std::size_t dropped = 0;
-    for (int i = 0; i < 60; ++i, rig.now += ms(100)) dropped += all<CancelAttempt>(rig.decide()).size();
+    for (int i = 0; i < 60; ++i, harness.now += ms(100))
+        dropped += actions_of<CancelAttempt>(harness.decide()).size();
     return dropped;
 }
 
@@ -502,69 +505,70 @@
 
 // Incident ib08f9d: stuck calls fill the half of the sick; another sick destination still gets a trial.
 TEST(Cap, ASickDestinationWithNothingOutGetsATrial) {
-    Rig rig;  // 8 slots
-    for (EndpointId id = 0; id < 5; ++id) rig.list(id, id);
-    for (MessageId id = 1; id <= 4; ++id) rig.arrive(id, static_cast<DestinationId>(id - 1), kFragile);
-    rig.arrive(5, 4);
-    const auto out = rig.sends();
+    SenderHarness harness;  // 8 slots
+    for (EndpointId id = 0; id < 5; ++id) harness.list_endpoint(id, id);
+    for (MessageId id = 1; id <= 4; ++id) harness.arrive(id, static_cast<DestinationId>(id - 1), kFragile);
+    harness.arrive(5, 4);
+    const auto out = harness.decide_sends();
     ASSERT_EQ(out.size(), 5u);
-    rig.pass(ms(3500));
-    rig.outcome(out[4], Outcome::ConnectionLost);
-    EXPECT_EQ(rig.pass(ms(2500)).size(), 1u);
+    harness.advance(ms(3500));
+    harness.report_outcome(out[4], Outcome::ConnectionLost);
+    EXPECT_EQ(harness.advance(ms(2500)).size(), 1u);
 }
 
 // A day of resets (wide+reset+stale): a broken call and a refused connect are the network's noise, and a
 // false outage costs a warm-up. Refused again with no answer between, the process has died.
 TEST(Health, OneBrokenCallAndOneRefusedConnectAreNoDeath) {
     for (const int refused : {1, 2}) {
-        Rig rig;
-        rig.list(0, 1);
-        rig.arrive(1, 1, kFragile);
-        const auto first = rig.sends();
+        SenderHarness harness;
+        harness.list_endpoint(0, 1);
+        harness.arrive(1, 1, kFragile);
+        const auto first = harness.decide_sends();
         ASSERT_EQ(first.size(), 1u);
-        rig.outcome(first[0], Outcome::ConnectionLost);
-        rig.arrive(2, 1, kFragile);
+        harness.report_outcome(first[0], Outcome::ConnectionLost);
+        harness.arrive(2, 1, kFragile);
         for (int i = 0; i < refused; ++i) {
-            const auto next = rig.pass(ms(300));
+            const auto next = harness.advance(ms(300));
             ASSERT_EQ(next.size(), 1u);
-            rig.outcome(next[0].second, Outcome::NoConnection, static_cast<std::uint32_t>(i));
+            harness.report_outcome(next[0].second, Outcome::NoConnection, static_cast<std::uint32_t>(i));
         }
         // fragile messages keep away from what is sick
-        EXPECT_EQ(rig.pass(ms(300)).size(), refused == 1 ? 1u : 0u) << refused;
+        EXPECT_EQ(harness.advance(ms(300)).size(), refused == 1 ? 1u : 0u) << refused;
     }
 }
 
 // Incident i94fd2c: refusals of calls sent together are one piece of news, not a shut destination.
 TEST(Health, RefusalsOfCallsSentTogetherAreOnePieceOfNews) {
-    Rig rig;
-    rig.list(0, 1);
-    for (MessageId id = 1; id <= 4; ++id) rig.arrive(id, 1, kFragile);
-    const auto out = rig.sends();
+    SenderHarness harness;
+    harness.list_endpoint(0, 1);
+    for (MessageId id = 1; id <= 4; ++id) harness.arrive(id, 1, kFragile);
+    const auto out = harness.decide_sends();
     ASSERT_EQ(out.size(), 4u);
-    rig.now += ms(50);
-    for (const Send& send : out) rig.outcome(send, Outcome::TurnedAway);
-    EXPECT_GE(rig.pass(ms(1500)).size(), 2u);  // not sick: fragile messages go, at the pace refusals taught
+    harness.now += ms(50);
+    for (const Send& send : out) harness.report_outcome(send, Outcome::TurnedAway);
+    EXPECT_GE(
+        harness.advance(ms(1500)).size(), 2u);  // not sick: fragile messages go, at the pace refusals taught
 }
 
 TEST(List, WatchIsAskedAgainAfterAFailure) {
     Settings settings = make_settings();
     settings.must_subscribe = true;
-    Rig rig(settings);
-    EXPECT_EQ(all<Watch>(rig.decide()).size(), 1u);
-    EXPECT_TRUE(all<Watch>(rig.decide()).empty());
-    rig.sender.observe(ListEvent{ListKind::Failed, {}}, rig.now);
-    EXPECT_TRUE(all<Watch>(rig.decide()).empty());
-    rig.now += ms(600);
-    EXPECT_EQ(all<Watch>(rig.decide()).size(), 1u);
+    SenderHarness harness(settings);
+    EXPECT_EQ(actions_of<Watch>(harness.decide()).size(), 1u);
+    EXPECT_TRUE(actions_of<Watch>(harness.decide()).empty());
+    harness.sender.observe(ListEvent{ListKind::Failed, {}}, harness.now);
+    EXPECT_TRUE(actions_of<Watch>(harness.decide()).empty());
+    harness.now += ms(600);
+    EXPECT_EQ(actions_of<Watch>(harness.decide()).size(), 1u);
 }
 
 TEST(Batches, OneCallOneSlot) {
     Settings settings = make_settings();
     settings.slots = 2;
-    Rig rig(settings);
-    rig.list(0, 1, 2);
-    for (MessageId id = 1; id <= 6; ++id) rig.arrive(id, 1);
-    EXPECT_EQ(rig.sent(), (Ids{1, 2, 3, 4}));
+    SenderHarness harness(settings);
+    harness.list_endpoint(0, 1, 2);
+    for (MessageId id = 1; id <= 6; ++id) harness.arrive(id, 1);
+    EXPECT_EQ(harness.decide_sent_ids(), (Ids{1, 2, 3, 4}));
 }
 
 TEST(Interface, BadSettingsThrowNamingTheSetting) {
@@ -579,63 +583,64 @@
     settings = make_settings();
     settings.warm_within = ms(-1);
     EXPECT_THROW(Sender(settings, 1), std::invalid_argument);
-    Rig rig;
-    EXPECT_THROW(rig.arrive(1, 1, 99), std::invalid_argument);
+    SenderHarness harness;
+    EXPECT_THROW(harness.arrive(1, 1, 99), std::invalid_argument);
 }
 
 // A list event with one bad entry changes nothing: the endpoints before it are not taken over either.
 TEST(Interface, ABadListEventIsRefusedWhole) {
-    Rig rig;
+    SenderHarness harness;
     ListEvent event;
     event.kind = ListKind::Full;
     event.entries = {{0, 1, 0, 0, 0.0, Condition::Ready}, {1, 1, 0, 99, 0.0, Condition::Ready}};
-    EXPECT_THROW(rig.sender.observe(event, rig.now), std::invalid_argument);
+    EXPECT_THROW(harness.sender.observe(event, harness.now), std::invalid_argument);
     event.entries = {{0, 1, 0, 0, 0.0, Condition::Ready}, {1, 1, 9, 0, 0.0, Condition::Ready}};
-    EXPECT_THROW(rig.sender.observe(event, rig.now), std::invalid_argument);
-    rig.arrive(1, 1);
-    EXPECT_TRUE(rig.sends().empty());
+    EXPECT_THROW(harness.sender.observe(event, harness.now), std::invalid_argument);
+    harness.arrive(1, 1);
+    EXPECT_TRUE(harness.decide_sends().empty());
 }
 
 TEST(Interface, UnknownMessagesArePassedOver) {
-    Rig rig;
-    rig.sender.observe(AbandonedEvent{77}, rig.now);
-    rig.outcome(Send{77, 0, Time(0)}, Outcome::Served);
-    EXPECT_TRUE(all<Send>(rig.decide()).empty());
+    SenderHarness harness;
+    harness.sender.observe(AbandonedEvent{77}, harness.now);
+    harness.report_outcome(Send{77, 0, Time(0)}, Outcome::Served);
+    EXPECT_TRUE(actions_of<Send>(harness.decide()).empty());
 }
 
 // ---- what has gone ----
 
 // An outcome or a doubt may still name an endpoint that is no longer listed; after them nothing does.
 TEST(Gone, IsForgottenOnceNothingNamesIt) {
-    Rig rig;
-    rig.list(0, 1);
-    rig.arrive(1, 1, kDedup);
-    const auto out = rig.sends();
+    SenderHarness harness;
+    harness.list_endpoint(0, 1);
+    harness.arrive(1, 1, kDedup);
+    const auto out = harness.decide_sends();
     ASSERT_EQ(out.size(), 1u);
-    const auto forgotten = [&rig](Time span) {
+    const auto forgotten = [&harness](Time span) {
         std::vector<EndpointId> found;
-        for (const Time end = rig.now + span; rig.now < end;) {
-            rig.now += ms(100);
-            for (const Forget& forget : all<Forget>(rig.decide())) found.push_back(forget.endpoint);
+        for (const Time end = harness.now + span; harness.now < end;) {
+            harness.now += ms(100);
+            for (const Forget& forget : actions_of<Forget>(harness.decide()))
+                found.push_back(forget.endpoint);
         }
         return found;
     };
-    rig.list(0, 1, 0, 0.0, Condition::Gone);
+    harness.list_endpoint(0, 1, 0, 0.0, Condition::Gone);
     EXPECT_TRUE(forgotten(ms(2000)).empty());
-    rig.outcome(out[0], Outcome::ConnectionLost);
+    harness.report_outcome(out[0], Outcome::ConnectionLost);
     EXPECT_TRUE(forgotten(ms(2000)).empty());  // a repeat may be bound to where the first try went
     EXPECT_EQ(forgotten(ms(10000)), std::vector<EndpointId>{0});
 }
 
 std::size_t sends_with_spoilt_answers(int every) {
-    Rig rig;
-    rig.list(0, 1);
-    for (MessageId id = 1; id <= 30; ++id) rig.arrive(id, 1);
+    SenderHarness harness;
+    harness.list_endpoint(0, 1);
+    for (MessageId id = 1; id <= 30; ++id) harness.arrive(id, 1);
     std::map<MessageId, std::uint32_t> tries;
     std::size_t count = 0;
-    for (const Time end = rig.now + ms(3000); rig.now < end; rig.now += ms(10))
-        for (const Send& send : rig.sends())
-            rig.outcome(send, ++count % every == 0 ? Outcome::Unreadable : Outcome::Served,
+    for (const Time end = harness.now + ms(3000); harness.now < end; harness.now += ms(10))
+        for (const Send& send : harness.decide_sends())
+            harness.report_outcome(send, ++count % every == 0 ? Outcome::Unreadable : Outcome::Served,
                 tries[send.message]++, Time(0), ms(10));
     return count;
 }
@@ -651,20 +656,20 @@
     Settings settings = make_settings();
     settings.most_held = 1000;
     settings.tenants.clear();
-    Rig rig(settings);
+    SenderHarness harness(settings);
     const auto is_slow = [](DestinationId id) { return id <= 2; };
-    for (EndpointId id = 1; id <= 6; ++id) rig.list(id, static_cast<DestinationId>(id));
-    for (MessageId id = 0; id < 600; ++id) rig.arrive(id, static_cast<DestinationId>(id % 6 + 1));
+    for (EndpointId id = 1; id <= 6; ++id) harness.list_endpoint(id, static_cast<DestinationId>(id));
+    for (MessageId id = 0; id < 600; ++id) harness.arrive(id, static_cast<DestinationId>(id % 6 + 1));
     std::multimap<Time, Send> out;
     std::map<bool, int> served;
-    for (const Time end = rig.now + ms(4000); rig.now < end; rig.now += ms(5)) {
-        for (; !out.empty() && out.begin()->first <= rig.now; out.erase(out.begin())) {
+    for (const Time end = harness.now + ms(4000); harness.now < end; harness.now += ms(5)) {
+        for (; !out.empty() && out.begin()->first <= harness.now; out.erase(out.begin())) {
             const bool slow = is_slow(out.begin()->second.endpoint);
-            rig.outcome(out.begin()->second, Outcome::Served, 0, Time(0), ms(slow ? 800 : 40));
+            harness.report_outcome(out.begin()->second, Outcome::Served, 0, Time(0), ms(slow ? 800 : 40));
             ++served[slow];
         }
-        for (const Send& send : rig.sends())
-            out.emplace(rig.now + ms(is_slow(send.endpoint) ? 800 : 40), send);
+        for (const Send& send : harness.decide_sends())
+            out.emplace(harness.now + ms(is_slow(send.endpoint) ? 800 : 40), send);
     }
     EXPECT_GE(served[false], 300) << "of 400; by turns of calls alone some 60";
     EXPECT_GE(served[true], 4) << "they are not left out either";
@@ -673,16 +678,16 @@
 // An endpoint that moves takes the calls that are out there with it: the destination that it left is not
 // held to be busy for ever.
 TEST(Lists, AnEndpointMovesWithTheCallsThatAreOutThere) {
-    Rig rig;
-    rig.list(1, 1);
-    for (MessageId id = 1; id <= 5; ++id) rig.arrive(id, 1);
-    const auto out = rig.pass(ms(2000));
+    SenderHarness harness;
+    harness.list_endpoint(1, 1);
+    for (MessageId id = 1; id <= 5; ++id) harness.arrive(id, 1);
+    const auto out = harness.advance(ms(2000));
     ASSERT_GE(out.size(), 5u);
-    rig.list(1, 2), rig.list(2, 1);
-    rig.decide();
-    for (const auto& [at, send] : out) rig.outcome(send, Outcome::Served);
-    for (MessageId id = 11; id <= 14; ++id) rig.arrive(id, 1);
-    EXPECT_EQ(rig.pass(ms(2000)).size(), 4u);
+    harness.list_endpoint(1, 2), harness.list_endpoint(2, 1);
+    harness.decide();
+    for (const auto& [at, send] : out) harness.report_outcome(send, Outcome::Served);
+    for (MessageId id = 11; id <= 14; ++id) harness.arrive(id, 1);
+    EXPECT_EQ(harness.advance(ms(2000)).size(), 4u);
 }
 
 }  // namespace
--- a/tests/random_traffic.hpp
+++ b/tests/random_traffic.hpp
@@ -39,19 +39,19 @@
     return out.str();
 }
 
-struct Variant {
+struct TrafficVariant {
     const char* name;
     void (*set)(Settings&);
     double load = 0.5;  ///< chance of a message at a step
 };
-inline std::ostream& operator<<(std::ostream& out, const Variant& one) { return out << one.name; }
+inline std::ostream& operator<<(std::ostream& out, const TrafficVariant& one) { return out << one.name; }
 
 /// `Other` is made of settings and a seed, and is told and asked as a Sender is.
 template <class Other>
-class Both {
+class DifferentialRun {
 public:
     static constexpr EndpointId kEndpoints = 14;
-    Both(const Variant& variant, std::uint64_t seed)
+    DifferentialRun(const TrafficVariant& variant, std::uint64_t seed)
         : variant_(variant),
           random_(seed),
           settings_(settings_of(variant)),
@@ -79,7 +79,7 @@
         return true;
     }
 
-    Other& other() { return other_; }
+    Other& other_module() { return other_; }
 
 private:
     static constexpr std::size_t kDestinations = 6;
@@ -91,7 +91,7 @@
         Time sent;
     };
 
-    static Settings settings_of(const Variant& variant) {
+    static Settings settings_of(const TrafficVariant& variant) {
         Settings settings = make_settings();
         settings.classes[kSequential].aim = ms(500);
         settings.classes[kDedup].aim = ms(800);
@@ -200,7 +200,7 @@
         return true;
     }
 
-    const Variant& variant_;
+    const TrafficVariant& variant_;
     std::mt19937_64 random_;
     Settings settings_;
     Sender present_;
@@ -214,14 +214,14 @@
     std::size_t actions_ = 0;
 };
 
-inline std::vector<Variant> variants() {
-    return {Variant{"usual", [](Settings&) {}, 0.6}, Variant{"idle", [](Settings&) {}, 0.1},
-        Variant{"full_room", [](Settings& s) { s.most_held = 25; }, 0.9},
-        Variant{"few_slots", [](Settings& s) { s.slots = 3, s.cancel = false; }, 0.7},
-        Variant{"many_slots", [](Settings& s) { s.slots = 64, s.most_held = 400; }, 0.95},
-        Variant{"floor", [](Settings& s) { s.floor_per_s = 2.0; }, 0.6},
-        Variant{"rates", [](Settings& s) { s.listed_rates = true, s.n_instances = 3; }, 0.6},
-        Variant{"scopes",
+inline std::vector<TrafficVariant> traffic_variants() {
+    return {TrafficVariant{"usual", [](Settings&) {}, 0.6}, TrafficVariant{"idle", [](Settings&) {}, 0.1},
+        TrafficVariant{"full_room", [](Settings& s) { s.most_held = 25; }, 0.9},
+        TrafficVariant{"few_slots", [](Settings& s) { s.slots = 3, s.cancel = false; }, 0.7},
+        TrafficVariant{"many_slots", [](Settings& s) { s.slots = 64, s.most_held = 400; }, 0.95},
+        TrafficVariant{"floor", [](Settings& s) { s.floor_per_s = 2.0; }, 0.6},
+        TrafficVariant{"rates", [](Settings& s) { s.listed_rates = true, s.n_instances = 3; }, 0.6},
+        TrafficVariant{"scopes",
             [](Settings& s) {
                 s.classes[kDedup].dedup_scope = DedupScope::Endpoint;
                 s.classes[kRetryable].effect = Effect::Dedup,
@@ -229,12 +229,12 @@
                 s.loses_worth = LateWorth::Halving;
             },
             0.7},
-        Variant{"keys",
+        TrafficVariant{"keys",
             [](Settings& s) {
                 for (auto& kind : s.classes) kind.sequential = true;
             },
             0.6},
-        Variant{"no_spans",
+        TrafficVariant{"no_spans",
             [](Settings& s) {
                 s.conn_idle = s.fall = s.warm_within = s.settle_after_doubt = Time(0),
                 s.must_subscribe = true;
@@ -242,8 +242,8 @@
             0.6}};
 }
 /// Of each variant, from a fresh seed unless LOCKGW_SEED tells one; more in long campaigns (LOCKGW_RUNS).
-struct Seeds {
-    explicit Seeds(std::uint64_t usual) {
+struct SeedRange {
+    explicit SeedRange(std::uint64_t usual) {
         const char* seed = std::getenv("LOCKGW_SEED");
         const char* runs = std::getenv("LOCKGW_RUNS");
         first = seed != nullptr ? std::stoull(seed) : std::random_device{}();
--- a/tests/rate_limits_test.cpp
+++ b/tests/rate_limits_test.cpp
@@ -154,14 +154,14 @@
     return settings;
 }
 std::vector<TellPeers> told_after_an_answer(Settings settings) {
-    Rig rig(std::move(settings));
-    rig.list(1, 1);
-    rig.arrive(1, 1);
-    for (const Send& send : rig.sends()) {
-        rig.now += ms(50);
-        rig.outcome(send, Outcome::Served, 0, Time(0), ms(50), LoadReport{0.3, 44.0});
+    SenderHarness harness(std::move(settings));
+    harness.list_endpoint(1, 1);
+    harness.arrive(1, 1);
+    for (const Send& send : harness.decide_sends()) {
+        harness.now += ms(50);
+        harness.report_outcome(send, Outcome::Served, 0, Time(0), ms(50), LoadReport{0.3, 44.0});
     }
-    return all<TellPeers>(rig.decide());
+    return actions_of<TellPeers>(harness.decide());
 }
 
 TEST(NotesOfPeers, WhatAnAnswerTellsGoesToAFewOthers) {
@@ -183,54 +183,58 @@
 // A sender that was told of a used-up limit waits an even part's turn; the news that there is room frees it.
 TEST(NotesOfPeers, NewsOfRoomFreesWhoWaitsForItsTurn) {
     for (const bool told : {false, true}) {
-        Rig rig(one_of(100));
-        rig.list(1, 1);
-        rig.arrive(1, 1);
-        const auto first = rig.sends();
+        SenderHarness harness(one_of(100));
+        harness.list_endpoint(1, 1);
+        harness.arrive(1, 1);
+        const auto first = harness.decide_sends();
         ASSERT_EQ(first.size(), 1u);
-        rig.now += ms(50);
-        rig.outcome(first[0], Outcome::TurnedAway, 0, Time(0), ms(50), LoadReport{0.0, 10.0});
-        rig.decide();
-        rig.now += ms(500);
-        const std::string note = encode({{1, 500.0, 1.0, rig.now}}, rig.now);
-        if (told) rig.sender.observe(PeerNote{4, note}, rig.now + ms(40));
-        EXPECT_EQ(rig.pass(ms(1000)).size(), told ? 1u : 0u);
+        harness.now += ms(50);
+        harness.report_outcome(first[0], Outcome::TurnedAway, 0, Time(0), ms(50), LoadReport{0.0, 10.0});
+        harness.decide();
+        harness.now += ms(500);
+        const std::string note = encode({{1, 500.0, 1.0, harness.now}}, harness.now);
+        if (told) harness.sender.observe(PeerNote{4, note}, harness.now + ms(40));
+        EXPECT_EQ(harness.advance(ms(1000)).size(), told ? 1u : 0u);
     }
 }
 // A forged note may claim a limit of next to nothing: it must not shut a partner off for hours.
 TEST(NotesOfPeers, AForgedLimitPutsATurnOffForSecondsOnly) {
-    Rig rig(one_of(100));
-    rig.list(1, 1);
-    rig.arrive(1, 1);
-    for (const Send& send : rig.sends())
-        rig.outcome(send, Outcome::Served, 0, Time(0), ms(50), LoadReport{0.5, 400.0});
-    rig.decide();
-    rig.now += ms(100);
-    rig.sender.observe(
-        PeerNote{4, encode({{1, 0.01, 0.0, rig.now + kTransitAllowance}}, rig.now)}, rig.now + ms(1));
-    rig.arrive(2, 1);
-    EXPECT_EQ(rig.pass(ms(11'000)).size(), 1u);
+    SenderHarness harness(one_of(100));
+    harness.list_endpoint(1, 1);
+    harness.arrive(1, 1);
+    for (const Send& send : harness.decide_sends())
+        harness.report_outcome(send, Outcome::Served, 0, Time(0), ms(50), LoadReport{0.5, 400.0});
+    harness.decide();
+    harness.now += ms(100);
+    harness.sender.observe(
+        PeerNote{4, encode({{1, 0.01, 0.0, harness.now + kTransitAllowance}}, harness.now)},
+        harness.now + ms(1));
+    harness.arrive(2, 1);
+    EXPECT_EQ(harness.advance(ms(11'000)).size(), 1u);
 }
 // Nor may one that claims a huge limit raise the budget of a partner that comes back cold: that is a rule.
 TEST(NotesOfPeers, AForgedLimitRaisesNoBudgetOfAWayBack) {
     std::size_t sent[2] = {0, 0};
     for (const bool forged : {false, true}) {
-        Rig rig(one_of(100));
-        rig.list(1, 1);
+        SenderHarness harness(one_of(100));
+        harness.list_endpoint(1, 1);
         MessageId next = 1;
-        rig.arrive(next++, 1);
-        for (const Send& send : rig.sends())
-            rig.outcome(send, Outcome::Served, 0, Time(0), ms(50), LoadReport{0.5, 40.0});
-        rig.now += ms(5000);
-        rig.arrive(next++, 1);
-        for (const Send& send : rig.sends()) rig.outcome(send, Outcome::TurnedAway, 0, ms(3000));  // shut
-        rig.decide();
-        for (int i = 0; i < 40; ++i) rig.arrive(next++, 1);
-        for (const Time end = rig.now + ms(5000); rig.now < end; rig.now += ms(10)) {
-            if (forged) rig.sender.observe(PeerNote{4, encode({{1, 1e6, 1.0, rig.now}}, rig.now)}, rig.now);
-            for (const Send& send : rig.sends()) {
+        harness.arrive(next++, 1);
+        for (const Send& send : harness.decide_sends())
+            harness.report_outcome(send, Outcome::Served, 0, Time(0), ms(50), LoadReport{0.5, 40.0});
+        harness.now += ms(5000);
+        harness.arrive(next++, 1);
+        for (const Send& send : harness.decide_sends())
+            harness.report_outcome(send, Outcome::TurnedAway, 0, ms(3000));  // shut
+        harness.decide();
+        for (int i = 0; i < 40; ++i) harness.arrive(next++, 1);
+        for (const Time end = harness.now + ms(5000); harness.now < end; harness.now += ms(10)) {
+            if (forged)
+                harness.sender.observe(
+                    PeerNote{4, encode({{1, 1e6, 1.0, harness.now}}, harness.now)}, harness.now);
+            for (const Send& send : harness.decide_sends()) {
                 ++sent[forged];
-                rig.outcome(send, Outcome::ServerError, 0);
+                harness.report_outcome(send, Outcome::ServerError, 0);
             }
         }
     }
@@ -238,17 +242,18 @@
 }
 // A told wait is a rule, and no note ends it; nor does one open what was never listed.
 TEST(NotesOfPeers, NoNoteEndsAToldWait) {
-    Rig rig(one_of(100));
-    rig.list(1, 1);
-    rig.arrive(1, 1);
-    const auto first = rig.sends();
-    rig.outcome(first.at(0), Outcome::TurnedAway, 0, ms(2000), ms(50), LoadReport{0.0, 10.0});
-    rig.decide();
+    SenderHarness harness(one_of(100));
+    harness.list_endpoint(1, 1);
+    harness.arrive(1, 1);
+    const auto first = harness.decide_sends();
+    harness.report_outcome(first.at(0), Outcome::TurnedAway, 0, ms(2000), ms(50), LoadReport{0.0, 10.0});
+    harness.decide();
     for (int i = 0; i < 190; ++i) {
-        rig.now += ms(10);
-        rig.sender.observe(
-            PeerNote{4, encode({{1, 1e6, 1.0, rig.now}, {9, 10, 1.0, rig.now}}, rig.now)}, rig.now);
-        EXPECT_TRUE(rig.sends().empty());
+        harness.now += ms(10);
+        harness.sender.observe(
+            PeerNote{4, encode({{1, 1e6, 1.0, harness.now}, {9, 10, 1.0, harness.now}}, harness.now)},
+            harness.now);
+        EXPECT_TRUE(harness.decide_sends().empty());
     }
 }
 
--- a/tests/same_decisions_test.cpp
+++ b/tests/same_decisions_test.cpp
@@ -6,18 +6,18 @@
 namespace cometspoke::testing {
 namespace {
 
-class SameDecisions : public ::testing::TestWithParam<Variant> {};
+class SameDecisions : public ::testing::TestWithParam<TrafficVariant> {};
 
 TEST_P(SameDecisions, OverRandomEvents) {
-    const Seeds seeds(100);
+    const SeedRange seeds(100);
     for (std::uint64_t seed = seeds.first; seed < seeds.last; ++seed) {
-        Both<SenderBefore> both(GetParam(), seed);
+        DifferentialRun<SenderBefore> both(GetParam(), seed);
         std::string told;
         ASSERT_TRUE(both.run(250, told)) << "seed " << seed << ": " << told;
     }
 }
 
-INSTANTIATE_TEST_SUITE_P(Module, SameDecisions, ::testing::ValuesIn(variants()),
+INSTANTIATE_TEST_SUITE_P(Module, SameDecisions, ::testing::ValuesIn(traffic_variants()),
     [](const auto& info) { return std::string(info.param.name); });
 
 }  // namespace
--- a/tests/steps_test.cpp
+++ b/tests/steps_test.cpp
@@ -49,7 +49,7 @@
     std::vector<Send> decide(Time passed = ms(1)) {
         now += passed;
         const auto actions = module.decide(now);
-        return all<Send>(actions);
+        return actions_of<Send>(actions);
     }
     /// Steps for each of some messages to the one that is well, from its arrival to its outcome's decision.
     double steps_a_message(Time pace) {
--- a/tests/told_limit_test.cpp
+++ b/tests/told_limit_test.cpp
@@ -20,28 +20,28 @@
 
 class ToldLimit : public ::testing::Test {
 protected:
-    ToldLimit() { rig.list(1, 1); }
+    ToldLimit() { harness.list_endpoint(1, 1); }
     /// One message there and back, answered with what is left.
     void hear(double left) {
-        rig.arrive(++last, 1);
-        for (const Send& send : rig.sends()) {
-            rig.now += ms(50);
-            rig.outcome(send, Outcome::Served, 0, Time(0), ms(50), LoadReport{left, kLimit});
+        harness.arrive(++last, 1);
+        for (const Send& send : harness.decide_sends()) {
+            harness.now += ms(50);
+            harness.report_outcome(send, Outcome::Served, 0, Time(0), ms(50), LoadReport{left, kLimit});
         }
     }
     /// Sends to a partner that takes all, of `count` messages that are there at once.
     int sent_within(Time span, int count, double left) {
-        for (int i = 0; i < count; ++i) rig.arrive(++last, 1);
+        for (int i = 0; i < count; ++i) harness.arrive(++last, 1);
         int sent = 0;
-        for (const Time end = rig.now + span; rig.now < end; rig.now += ms(10))
-            for (const Send& send : rig.sends()) {
+        for (const Time end = harness.now + span; harness.now < end; harness.now += ms(10))
+            for (const Send& send : harness.decide_sends()) {
                 ++sent;
-                rig.outcome(send, Outcome::Served, 0, Time(0), ms(50), LoadReport{left, kLimit});
+                harness.report_outcome(send, Outcome::Served, 0, Time(0), ms(50), LoadReport{left, kLimit});
             }
         return sent;
     }
 
-    Rig rig{one_of_many()};
+    SenderHarness harness{one_of_many()};
     MessageId last = 0;
 };
 
@@ -62,32 +62,32 @@
 // Without a backlog a message need not wait for an even part's turn where there is room.
 TEST_F(ToldLimit, AMessageAloneGoesSoonWhereMuchIsLeft) {
     hear(1.0);
-    rig.now += ms(500);
-    rig.arrive(++last, 1);
-    EXPECT_EQ(rig.sends().size(), 1u);
+    harness.now += ms(500);
+    harness.arrive(++last, 1);
+    EXPECT_EQ(harness.decide_sends().size(), 1u);
 }
 TEST_F(ToldLimit, AMessageAloneWaitsWhereNothingIsLeft) {
     hear(0.0);
     hear(0.0);  // this one's turn was set with the news of the first
-    rig.now += ms(500);
-    rig.arrive(++last, 1);
-    EXPECT_TRUE(rig.sends().empty());
-    EXPECT_EQ(rig.pass(ms(2500)).size(), 1u);
+    harness.now += ms(500);
+    harness.arrive(++last, 1);
+    EXPECT_TRUE(harness.decide_sends().empty());
+    EXPECT_EQ(harness.advance(ms(2500)).size(), 1u);
 }
 // One refusal tells all that there is to know: nobody goes on at many times an even part until it hears more.
 TEST_F(ToldLimit, OneRefusalIsEnough) {
-    rig.arrive(++last, 1);
-    const auto first = rig.sends();
+    harness.arrive(++last, 1);
+    const auto first = harness.decide_sends();
     ASSERT_EQ(first.size(), 1u);
-    rig.now += ms(50);
-    rig.outcome(first[0], Outcome::TurnedAway, 0, Time(0), ms(50), LoadReport{0.0, kLimit});
+    harness.now += ms(50);
+    harness.report_outcome(first[0], Outcome::TurnedAway, 0, Time(0), ms(50), LoadReport{0.0, kLimit});
     int calls = 0;
-    for (int i = 0; i < 30; ++i) rig.arrive(++last, 1);
+    for (int i = 0; i < 30; ++i) harness.arrive(++last, 1);
     std::map<MessageId, std::uint32_t> attempts{{first[0].message, 1}};
-    for (const Time end = rig.now + ms(20'000); rig.now < end; rig.now += ms(10))
-        for (const Send& send : rig.sends()) {
+    for (const Time end = harness.now + ms(20'000); harness.now < end; harness.now += ms(10))
+        for (const Send& send : harness.decide_sends()) {
             ++calls;
-            rig.outcome(send, Outcome::TurnedAway, attempts[send.message]++, Time(0), ms(50),
+            harness.report_outcome(send, Outcome::TurnedAway, attempts[send.message]++, Time(0), ms(50),
                 LoadReport{0.0, kLimit});
         }
     EXPECT_LE(calls, 11);
--- a/tests/written_down.hpp
+++ b/tests/written_down.hpp
@@ -41,11 +41,11 @@
 };
 
 /// A segment of so many batches.
-inline lockgw::capture::Segment written_down(const Variant& variant, std::uint64_t seed, int batches) {
-    Both<WrittenDown> both(variant, seed);
+inline lockgw::capture::Segment written_down(const TrafficVariant& variant, std::uint64_t seed, int batches) {
+    DifferentialRun<WrittenDown> both(variant, seed);
     std::string told;
     if (!both.run(batches, told)) throw std::runtime_error(told);
-    return lockgw::capture::segment_of(both.other().bytes());
+    return lockgw::capture::segment_of(both.other_module().bytes());
 }
 
 }  // namespace cometspoke::testing
