--- a/bench/routes_bench.cpp
+++ b/bench/routes_bench.cpp
@@ -3,15 +3,15 @@
 
 #include <sstream>
 
-#include "routes/table.hpp"
+#include "routes/routing_table.hpp"
 
 namespace {
 
 using namespace lockgw;
 
 /// Half of the destinations have a route of their own; `general` routes name none.
-routes::Table table_of(int destinations, int general) {
-    const routes::Known known{{"order", "status"}, {"t0", "t1"}, {"k"}, {}, {}};
+routes::RoutingTable table_of(int destinations, int general) {
+    const routes::KnownNames known{{"order", "status"}, {"t0", "t1"}, {"k"}, {}, {}};
     std::ostringstream text;
     for (int i = 0; i < destinations; ++i)
         text << "[[destination]]\nname = \"d" << i << "\"\nnumber = " << i
@@ -24,15 +24,15 @@
              << "\"\nendpoints = [\"a\"]\n";
     config::Problems problems("bench");
     const auto file = config::read_operator_file(text.str(), "bench", problems);
-    return routes::Table(file, known, problems);
+    return routes::RoutingTable(file, known, problems);
 }
 
 void find(benchmark::State& state) {
     const auto destinations = static_cast<int>(state.range(0));
-    const routes::Table table = table_of(destinations, static_cast<int>(state.range(1)));
+    const routes::RoutingTable table = table_of(destinations, static_cast<int>(state.range(1)));
     std::int64_t next = 0;
     for (auto _ : state) {
-        benchmark::DoNotOptimize(table.find("order", "t0", next, "k"));
+        benchmark::DoNotOptimize(table.find_route("order", "t0", next, "k"));
         next = (next + 7919) % destinations;
     }
 }
--- a/lab/ways.cpp
+++ b/lab/ways.cpp
@@ -12,7 +12,7 @@
 #include "base/mix.hpp"
 #include "base/units.hpp"
 #include "lab/schedule.hpp"
-#include "spread/planner.hpp"
+#include "subsetting/subset_planner.hpp"
 
 namespace lockgw::lab {
 
@@ -51,7 +51,7 @@
     std::size_t next = 0;
     bool gone = false;
     std::optional<Sender> module;
-    std::optional<spread::Planner> planner;
+    std::optional<subsetting::SubsetPlanner> planner;
     std::map<MessageId, double> came;
     double timer = -1;
 };
@@ -105,8 +105,9 @@
         const std::size_t number = chance(is_.claimed) && i > 0 ? i - 1 : i;
         const Settings settings = module_settings(is_, number);
         one.module.emplace(settings, is_.seed * 1000 + i);
-        one.planner.emplace(spread::Standing{spread::point_of(number, is_.forwarders), is_.forwarders,
-            settings.conn_idle, settings.warm_within, settings.cold_from});
+        one.planner.emplace(
+            subsetting::SubsetParameters{subsetting::evenly_spaced_position(number, is_.forwarders),
+                is_.forwarders, settings.conn_idle, settings.warm_within, settings.cold_from});
         ListEvent list;
         for (const std::size_t target : one.list) {
             list.entries.push_back({static_cast<EndpointId>(target + 1), kDestination});
@@ -134,16 +135,16 @@
         if (way_ != Way::Module) return call(i, choose(i), schedule_.now(), 0);
         const MessageId id = ++ids_;
         one.came[id] = schedule_.now();
-        one.planner->asked(kDestination, time());
+        one.planner->record_message(kDestination, time());
         one.module->observe(MessageEvent{id, kDestination, 0, {}, {}, Time(5'000'000)}, time());
         decide(i);
     }
     void decide(std::size_t i) {
         One& one = all_[i];
-        for (const auto& change : one.planner->changes(time())) {
+        for (const auto& change : one.planner->take_changes(time())) {
             SpreadEvent event;
             event.destination = change.destination;
-            for (const spread::Part& part : change.parts)
+            for (const subsetting::SubsetTarget& part : change.targets)
                 event.parts.push_back(
                     {static_cast<EndpointId>(std::stoul(part.id.substr(2)) + 1), part.weight, part.sharers});
             one.module->observe(event, time());
@@ -237,7 +238,7 @@
             if (came >= is_.warm_s) spans_.push_back(schedule_.now() - came);
             if (way_ != Way::Module) return;
             const Time took = from_seconds(schedule_.now() - sent);
-            from.planner->answered(id_of(target), took, time());
+            from.planner->record_answer(id_of(target), took, time());
             OutcomeEvent event;
             event.message = message, event.endpoint = static_cast<EndpointId>(target + 1);
             event.terminal = true, event.rtt = took;
--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -19,7 +19,7 @@
 #include "config/tier_row.hpp"
 #include "config/work_row.hpp"
 #include "logging/log.hpp"
-#include "spread/planner.hpp"
+#include "subsetting/subset_planner.hpp"
 
 namespace lockgw {
 
@@ -49,7 +49,7 @@
     /// Within so long after it is told that a target drains or has gone, new calls to it must have stopped.
     std::chrono::milliseconds drain_grace{500};
     config::DoorRow door;
-    spread::Orders spread;  ///< the operator's
+    subsetting::SubsetConfig spread;  ///< the operator's
     config::TierRow tier;
     config::ReturnRow recovery;
     config::WorkRow work;
--- a/src/config/operator_file.cpp
+++ b/src/config/operator_file.cpp
@@ -144,14 +144,14 @@
                 table.place("least_wait_ms"), "out-of-range", "least_wait_ms is above most_wait_ms");
     }
     void spread(TableReader& table) {
-        spread::Orders& row = file_.spread;
-        row.arcs = table.boolean("arcs").value_or(true);
-        row.least_targets = table.number("least_targets", 1, 100'000);
-        row.most_targets = table.number("most_targets", 1, 100'000);
-        if (row.least_targets && row.most_targets && *row.least_targets > *row.most_targets)
+        subsetting::SubsetConfig& row = file_.spread;
+        row.enabled = table.boolean("arcs").value_or(true);
+        row.min_targets = table.number("least_targets", 1, 100'000);
+        row.max_targets = table.number("most_targets", 1, 100'000);
+        if (row.min_targets && row.max_targets && *row.min_targets > *row.max_targets)
             table.problem(
                 table.place("least_targets"), "out-of-range", "least_targets is above most_targets");
-        if (!row.arcs && (row.least_targets || row.most_targets))
+        if (!row.enabled && (row.min_targets || row.max_targets))
             table.problem(table.place("arcs"), "out-of-range",
                 "arcs = false leaves nothing for least_targets and most_targets; take them out");
     }
--- a/src/config/operator_file.hpp
+++ b/src/config/operator_file.hpp
@@ -2,7 +2,7 @@
 ///
 /// TOML; every key: docs/operators/configuration.md. Rows keep their places, so that later checks can name
 /// them. read_operator_file() checks what one row or the file alone can show; what depends on the settings
-/// and on the members is checked by routes::Table and routes::run_expectations.
+/// and on the members is checked by routes::RoutingTable and routes::check_expectations.
 #pragma once
 
 #include <cstdint>
@@ -18,7 +18,7 @@
 #include "config/toml_reader.hpp"
 #include "config/work_row.hpp"
 #include "logging/log.hpp"
-#include "spread/planner.hpp"
+#include "subsetting/subset_planner.hpp"
 
 namespace lockgw::config {
 
@@ -99,7 +99,7 @@
     std::optional<InstanceRow> instance;
     LimitsRow limits;
     DoorRow door;
-    spread::Orders spread;
+    subsetting::SubsetConfig spread;
     TierRow tier;
     ReturnRow recovery;
     WorkRow work;
--- a/src/config/plan_file.cpp
+++ b/src/config/plan_file.cpp
@@ -5,7 +5,7 @@
 #include <map>
 
 #include "config/toml_reader.hpp"
-#include "spread/ring.hpp"
+#include "subsetting/hash_ring.hpp"
 
 namespace lockgw::config {
 namespace {
@@ -124,7 +124,7 @@
             table.problem(name.place, "bad-name", "a host's name has 64 bytes at most");
         if (const auto zone = table.word("zone")) one.zone = zone_named(zone->text, zone->place);
         for (const Word& target : table.words("targets").value_or(std::vector<Word>{})) {
-            const std::uint64_t known = spread::known_as(target.text);
+            const std::uint64_t known = subsetting::gossip_id(target.text);
             const auto [found, fresh] = host_of_.emplace(known, one.name);
             if (!fresh)
                 table.problem(target.place, "contradiction",
@@ -155,8 +155,9 @@
             for (const work::Place& host : plan_.machines) {
                 double gone = 0;
                 for (const PlanScene::Target& one : scene_.targets)
-                    if (one.destination == destination && std::find(host.targets.begin(), host.targets.end(),
-                                                              spread::known_as(one.id)) != host.targets.end())
+                    if (one.destination == destination &&
+                        std::find(host.targets.begin(), host.targets.end(), subsetting::gossip_id(one.id)) !=
+                            host.targets.end())
                         gone += one.size;
                 if (gone <= 0) continue;
                 if (gone >= size * (1 - 1e-9))
--- a/src/core/forwarder.cpp
+++ b/src/core/forwarder.cpp
@@ -51,7 +51,8 @@
 
 }  // namespace
 
-Forwarder::Forwarder(asio::io_context& io, Config config, const Protocols& protocols, routes::Table routes)
+Forwarder::Forwarder(
+    asio::io_context& io, Config config, const Protocols& protocols, routes::RoutingTable routes)
     : io_(io),
       config_(within_descriptors(std::move(config))),
       tenants_(config_.names.tenants),
@@ -96,7 +97,7 @@
 Forwarder::~Forwarder() = default;
 
 void Forwarder::start() {
-    planner_.ordered(config_.spread, routes_.weights());
+    planner_.apply_config(config_.spread, routes_.endpoint_weights());
     tell_routes();
     discovery_.take_known();
     const bool handed_over = known_.has_value();
@@ -144,7 +145,7 @@
         entry.endpoint = *endpoint;
         entry.destination = target.destination;
         entry.rate = target.rate;
-        entry.known_as = spread::known_as(target.id);
+        entry.known_as = subsetting::gossip_id(target.id);
         entry.condition = target.condition;
         if (entry.condition == Condition::Ready && (orders_.now().out(target.id) || work_.out(target.id)))
             entry.condition = Condition::Draining;  // by hand, or for work
@@ -204,10 +205,10 @@
     if (journal_.unended() + newcomers_.size() >= config_.settings.most_held)
         return done(Reply::busy(kRoomWait));
     const std::string& kind = kind_of(message.destination);
-    if (routes_.wrong_kind(message.message_class, message.destination, kind))
+    if (routes_.excludes_kind(message.message_class, message.destination, kind))
         return done(Reply::rejected("this class does not go to a " + kind));
     const RouteId route = route_of(message);
-    if (routes_.refuses(route)) return done(Reply::rejected("refused by " + routes_.rule_of(route)));
+    if (routes_.refuses(route)) return done(Reply::rejected("refused by " + routes_.rule_text(route)));
     // by name, for settings may have been taken over since the request was read
     const auto kind_now = config_.names.classes.find(message.message_class);
     if (kind_now == config_.names.classes.end())
@@ -224,7 +225,7 @@
         event.tenant = tenant->second;
     }
     event.left = left;
-    planner_.asked(message.destination, steady_now());
+    planner_.record_message(message.destination, steady_now());
     newcomers_.emplace(id, Newcomer{std::move(message), std::move(done)});
     observe(event);
 }
@@ -244,7 +245,7 @@
     recovery_.outcome(event);
     if (event.outcome == Outcome::Served)
         if (const std::string* name = directory_.name_of(event.endpoint))
-            planner_.answered(*name, event.rtt, steady_now());
+            planner_.record_answer(*name, event.rtt, steady_now());
     observe(event);
     stop_if_done();
 }
@@ -398,11 +399,11 @@
 
 /// The module knows endpoints by their numbers.
 void Forwarder::tell_routes() {
-    if (routes_.size() == 0) return;
+    if (routes_.route_count() == 0) return;
     RoutesEvent event;
-    for (RouteId route = 1; route <= routes_.size(); ++route) {
+    for (RouteId route = 1; route <= routes_.route_count(); ++route) {
         auto& only = event.only.emplace_back();
-        for (const std::string& id : routes_.only(route))
+        for (const std::string& id : routes_.allowed_endpoints(route))
             if (const auto endpoint = directory_.find(id)) only.push_back(*endpoint);
     }
     observe(event);
@@ -419,17 +420,17 @@
 }
 
 RouteId Forwarder::route_of(const Message& message) const {
-    return routes_.find(
+    return routes_.find_route(
         message.message_class, message.tenant, message.destination, kind_of(message.destination));
 }
 const std::string& Forwarder::kind_of(std::int64_t destination) const {
     static const std::string unknown;
-    const auto& listed = members_.of(destination);
+    const auto& listed = members_.endpoints_of(destination);
     return listed.empty() ? unknown : listed.front().kind;
 }
 
 routes::Resolution Forwarder::route(const routes::Query& query) const {
-    return routes_.resolve(query, members_.of(query.destination));
+    return routes_.resolve(query, members_.endpoints_of(query.destination));
 }
 
 Json Forwarder::status() const {
@@ -438,21 +439,21 @@
     for (const auto& [id, entry] : journal_.entries())
         if (!entry.notice) ++held[entry.message.destination];
     Json destinations = Json::array();
-    for (const auto& [number, members] : members_.all()) {
+    for (const auto& [number, members] : members_.by_destination()) {
         Json endpoints = Json::array();
         for (const auto& one : members)
             endpoints.push_back(
                 {{"name", routes_.endpoint_name(one.id)}, {"id", one.id}, {"is", text_of(one.condition)}});
-        destinations.push_back({{"number", number}, {"name", routes_.name_of(number)},
+        destinations.push_back({{"number", number}, {"name", routes_.destination_name(number)},
             {"held", held.contains(number) ? held.at(number) : 0}, {"endpoints", std::move(endpoints)}});
     }
     return {{"name", config_.name}, {"draining", draining_}, {"in_service", orders_.now().in_service()},
         {"away_for_work", work_.away()}, {"out_by_hand", orders_.now().all_out()},
         {"held", journal_.unended()}, {"unconfirmed_ends", journal_.entries().size() - journal_.unended()},
         {"calls_out", delivery_->calls()}, {"slots", config_.settings.slots},
-        {"most_held", config_.settings.most_held}, {"longest_turn_ms", longest}, {"routes", routes_.size()},
-        {"capture", captures_.status()}, {"fronts", Json::array({front_->status()})},
-        {"destinations", std::move(destinations)}};
+        {"most_held", config_.settings.most_held}, {"longest_turn_ms", longest},
+        {"routes", routes_.route_count()}, {"capture", captures_.status()},
+        {"fronts", Json::array({front_->status()})}, {"destinations", std::move(destinations)}};
 }
 
 void Forwarder::capture(const std::string& what, Captures::Told told) {
--- a/src/core/forwarder.hpp
+++ b/src/core/forwarder.hpp
@@ -19,10 +19,10 @@
 #include "membership/directory.hpp"
 #include "membership/discovery.hpp"
 #include "operations/operations.hpp"
-#include "routes/table.hpp"
-#include "spread/planner.hpp"
+#include "routes/routing_table.hpp"
 #include "store/journal.hpp"
 #include "store/orders_file.hpp"
+#include "subsetting/subset_planner.hpp"
 
 namespace lockgw {
 
@@ -41,20 +41,21 @@
 class Forwarder final : Intake {
 public:
     /// Takes up what the journal holds. Throws where the folder or an address cannot be used.
-    Forwarder(asio::io_context& io, Config config, const Protocols& protocols, routes::Table routes = {});
+    Forwarder(
+        asio::io_context& io, Config config, const Protocols& protocols, routes::RoutingTable routes = {});
     ~Forwarder();
 
     void start();
     /// Takes over what may change while it runs: the address of discovery, the routes and the settings.
     /// Messages that are held keep the terms under which they were taken. Throws where `fresh` makes no
     /// sense; nothing has changed then.
-    void reload(const Config& fresh, routes::Table routes = {});
+    void reload(const Config& fresh, routes::RoutingTable routes = {});
     /// For people and programs; docs/operators/commands.md.
     Json status() const;
     /// Whom the message of a class and tenant may go to now, by this process's own list.
     routes::Resolution route(const routes::Query& query) const;
-    const routes::Table& routes() const { return routes_; }
-    const routes::Members& members() const { return members_; }
+    const routes::RoutingTable& routes() const { return routes_; }
+    const routes::EndpointIndex& members() const { return members_; }
     /// Each destination's targets, which part of the calls they get, and why.
     Json spread() const;
     /// Who of the tier is there, since when, and by whose word.
@@ -171,9 +172,9 @@
     cometspoke::Sender sender_;
     Directory directory_;
     Captures captures_;
-    routes::Table routes_;
-    routes::Members members_;  // as listed, by destination
-    spread::Planner planner_;
+    routes::RoutingTable routes_;
+    routes::EndpointIndex members_;  // as listed, by destination
+    subsetting::SubsetPlanner planner_;
     std::unique_ptr<Delivery> delivery_;
     Discovery discovery_;
     TierWatch tier_;
--- a/src/core/forwarder_changes.cpp
+++ b/src/core/forwarder_changes.cpp
@@ -163,7 +163,7 @@
 
 // ---- other settings ----
 
-void Forwarder::reload(const Config& fresh, routes::Table routes) {
+void Forwarder::reload(const Config& fresh, routes::RoutingTable routes) {
     using namespace cometspoke::settings;
     const Config bounded = within_descriptors(fresh);
     InForce next = taken_over({config_.names, config_.settings, tenants_},
@@ -185,7 +185,7 @@
     discovery_.move_to(fresh.discovery);
     routes_ = std::move(routes);
     config_.spread = fresh.spread;
-    planner_.ordered(config_.spread, routes_.weights());
+    planner_.apply_config(config_.spread, routes_.endpoint_weights());
     reroute_held();
 }
 
--- a/src/core/forwarder_return.cpp
+++ b/src/core/forwarder_return.cpp
@@ -6,7 +6,7 @@
 #include "core/clocks.hpp"
 #include "core/forwarder.hpp"
 #include "logging/log.hpp"
-#include "spread/ring.hpp"
+#include "subsetting/hash_ring.hpp"
 
 namespace lockgw {
 
@@ -59,7 +59,7 @@
     const auto ordered = [this] {
         std::vector<recovery::Said> said;
         for (const std::string& id : orders_.now().all_out())
-            said.push_back({recovery::Said::What::Out, spread::known_as(id), {}});
+            said.push_back({recovery::Said::What::Out, subsetting::gossip_id(id), {}});
         return said;
     };
     recovery_.tells = ordered;
@@ -78,7 +78,7 @@
     if (recovery_.asking() || !recovery_.orders_lost() || recovery_.taken().out.empty()) return;
     std::vector<std::string> out;
     directory_.each([&](EndpointId, const std::string& id) {
-        const std::uint64_t name = spread::known_as(id);
+        const std::uint64_t name = subsetting::gossip_id(id);
         if (recovery_.taken().out.contains(name) && heeded_.insert(name).second) out.push_back(id);
     });
     for (const std::string& id : out) {
--- a/src/core/forwarder_sharing.cpp
+++ b/src/core/forwarder_sharing.cpp
@@ -18,10 +18,10 @@
 
 /// Which targets of each destination are this forwarder's part, where that has changed.
 void Forwarder::share_out(Time now) {
-    for (const auto& change : planner_.changes(now)) {
+    for (const auto& change : planner_.take_changes(now)) {
         SpreadEvent event;
         event.destination = change.destination;
-        for (const spread::Part& part : change.parts)
+        for (const subsetting::SubsetTarget& part : change.targets)
             if (const auto endpoint = directory_.find(part.id))
                 event.parts.push_back({*endpoint, part.weight, part.sharers});
         tell_module(event);
@@ -31,7 +31,8 @@
 /// Others of the tier have come or gone.
 void Forwarder::stand(const TierWatch::Standing& standing) {
     standing_ = standing;
-    planner_.stand(spread::point_of(standing.rank, standing.present), standing.present, standing.parts);
+    planner_.set_position(subsetting::evenly_spaced_position(standing.rank, standing.present),
+        standing.present, standing.parts);
     config_.settings.n_instances = standing.parts;
     discovery_.among(standing.present);
     observe(SettingsEvent{config_.settings});
@@ -39,16 +40,16 @@
 
 Json Forwarder::spread() const {
     Json all = Json::array();
-    for (const auto& row : planner_.rows(steady_now())) {
+    for (const auto& row : planner_.reports(steady_now())) {
         Json targets = Json::array();
-        for (std::size_t i = 0; i < row.parts.size(); ++i) {
-            const spread::Part& part = row.parts[i];
+        for (std::size_t i = 0; i < row.targets.size(); ++i) {
+            const subsetting::SubsetTarget& part = row.targets[i];
             targets.push_back({{"name", routes_.endpoint_name(part.id)}, {"id", part.id},
-                {"weight", part.weight}, {"sharers", part.sharers}, {"why", row.whys[i]}});
+                {"weight", part.weight}, {"sharers", part.sharers}, {"why", row.target_reasons[i]}});
         }
-        all.push_back(
-            {{"number", row.destination}, {"name", routes_.name_of(row.destination)}, {"listed", row.targets},
-                {"rate", row.rate}, {"width", row.width}, {"why", row.why}, {"targets", std::move(targets)}});
+        all.push_back({{"number", row.destination}, {"name", routes_.destination_name(row.destination)},
+            {"listed", row.target_count}, {"rate", row.message_rate}, {"width", row.subset_size},
+            {"why", row.reason}, {"targets", std::move(targets)}});
     }
     return all;
 }
--- a/src/core/forwarder_work.cpp
+++ b/src/core/forwarder_work.cpp
@@ -4,7 +4,7 @@
 #include "core/clocks.hpp"
 #include "core/forwarder.hpp"
 #include "policy/state.hpp"
-#include "spread/ring.hpp"
+#include "subsetting/hash_ring.hpp"
 
 namespace lockgw {
 
@@ -23,9 +23,9 @@
     const auto& plan = work_.plan();
     if (!plan) return;
     // hosts of which no target serves, without anybody's word
-    std::map<std::uint64_t, const routes::Member*> by_name;
-    for (const auto& [destination, members] : members_.all())
-        for (const auto& one : members) by_name.emplace(spread::known_as(one.id), &one);
+    std::map<std::uint64_t, const routes::ListedEndpoint*> by_name;
+    for (const auto& [destination, members] : members_.by_destination())
+        for (const auto& one : members) by_name.emplace(subsetting::gossip_id(one.id), &one);
     const auto serves = [by_name](std::uint64_t name) {
         const auto at = by_name.find(name);
         return at != by_name.end() && at->second->condition == Condition::Ready;
@@ -41,9 +41,9 @@
         bool free = true;
         directory_.each([&](EndpointId number, const std::string& id) {
             const auto& names = plan->machines[*at].targets;
-            if (std::find(names.begin(), names.end(), spread::known_as(id)) == names.end()) return;
+            if (std::find(names.begin(), names.end(), subsetting::gossip_id(id)) == names.end()) return;
             const auto known = sender_.state().endpoints_.find(number);
-            free = free && work_.out(spread::known_as(id)) &&
+            free = free && work_.out(subsetting::gossip_id(id)) &&
                    (known == sender_.state().endpoints_.end() || known->second.in_flight == 0);
         });
         return free;
@@ -56,11 +56,11 @@
     const auto at = plan.index_of(machine);
     if (!at) return 0;
     unsigned least = 100;
-    for (const auto& [destination, members] : members_.all()) {
+    for (const auto& [destination, members] : members_.by_destination()) {
         double whole = 0, stays = 0;
         bool touched = false;
         for (const auto& one : members) {
-            const std::uint64_t name = spread::known_as(one.id);
+            const std::uint64_t name = subsetting::gossip_id(one.id);
             const auto target = discovery_.view().current(one.id);
             const double size = target && target->rate > 0 ? target->rate : 1;
             const auto& gone = plan.machines[*at].targets;
@@ -101,7 +101,7 @@
     const std::set<std::uint64_t> before = std::exchange(work_out_, out);
     View::Update update;
     directory_.each([&](EndpointId, const std::string& id) {
-        const std::uint64_t name = spread::known_as(id);
+        const std::uint64_t name = subsetting::gossip_id(id);
         const bool was = before.contains(name), is = out.contains(name);
         if (was == is) return;
         if (was) back_from_work_[id] = steady_now();
--- a/src/core/recovery_coordinator.cpp
+++ b/src/core/recovery_coordinator.cpp
@@ -11,7 +11,7 @@
 #include "core/clocks.hpp"
 #include "logging/log.hpp"
 #include "policy/state.hpp"
-#include "spread/ring.hpp"
+#include "subsetting/hash_ring.hpp"
 
 namespace lockgw {
 
@@ -230,7 +230,7 @@
     answer.facts.insert(answer.facts.begin(), {Said::What::Back, back_of_late(now), {}});
     for (const TargetFact& one : present(now).targets)
         if (one.outage && !one.outage->answers)
-            answer.facts.push_back({Said::What::Down, spread::known_as(one.id), one.outage->fell});
+            answer.facts.push_back({Said::What::Down, subsetting::gossip_id(one.id), one.outage->fell});
     for (const std::string& bytes : sections_of(answer, notes::room_beside(notes::kHeadBytes)))
         parts_.tier.say(from, notes::Kind::Answer, bytes);
     // and what it knows of limits, in the form that the module reads
@@ -269,7 +269,7 @@
     Snapshot facts;
     facts.at = moment_now();
     parts_.directory.each([&](EndpointId number, const std::string& id) {
-        const auto down = taken_.down.find(spread::known_as(id));
+        const auto down = taken_.down.find(subsetting::gossip_id(id));
         const auto& endpoints = parts_.sender.state().endpoints_;
         const auto at = endpoints.find(number);
         if (down == taken_.down.end() || at == endpoints.end()) return;
--- a/src/core/standing.hpp
+++ b/src/core/standing.hpp
@@ -2,16 +2,16 @@
 #pragma once
 
 #include "config/config.hpp"
-#include "spread/planner.hpp"
+#include "subsetting/subset_planner.hpp"
 
 namespace lockgw {
 
 /// Its point by its number, by chance where it was told none.
-inline spread::Standing standing_of(const Config& config) {
+inline subsetting::SubsetParameters standing_of(const Config& config) {
     const bool numbered = config.shape.contains("me");
     const auto& settings = config.settings;
-    return {numbered ? spread::point_of(settings.own_number, settings.n_instances)
-                     : spread::point_by_chance(config.seed),
+    return {numbered ? subsetting::evenly_spaced_position(settings.own_number, settings.n_instances)
+                     : subsetting::hashed_position(config.seed),
         settings.n_instances, settings.conn_idle, settings.warm_within, settings.cold_from};
 }
 
--- a/src/core/work.hpp
+++ b/src/core/work.hpp
@@ -15,7 +15,7 @@
 #include "config/config.hpp"
 #include "core/hook.hpp"
 #include "core/tier.hpp"
-#include "spread/ring.hpp"
+#include "subsetting/hash_ring.hpp"
 #include "work/crew.hpp"
 
 namespace lockgw {
@@ -38,10 +38,10 @@
     bool on() const { return crew_.has_value(); }
     /// This forwarder is to be out of service.
     bool away() const { return crew_ && crew_->away(); }
-    /// Nothing new goes to the target of this name (spread::known_as).
+    /// Nothing new goes to the target of this name (subsetting::gossip_id).
     bool out(std::uint64_t known_as) const { return crew_ && crew_->targets_out().contains(known_as); }
     bool out(const std::string& id) const {
-        return crew_ && !crew_->targets_out().empty() && out(spread::known_as(id));
+        return crew_ && !crew_->targets_out().empty() && out(subsetting::gossip_id(id));
     }
     const std::set<std::uint64_t>& all_out() const;
 
--- a/src/program/check.cpp
+++ b/src/program/check.cpp
@@ -71,38 +71,41 @@
     others.operator_file = newer;
     const auto after = loaded_or_told(others, json);
     if (!after) return kWrong;
-    const auto found = routes::difference(before->scene(), after->scene());
+    const auto found = routes::compare_routing(before->scene(), after->scene());
     if (json) {
         Json changes = Json::array();
         for (const auto& one : found.changes)
             changes.push_back({{"class", one.message_class}, {"tenant", one.tenant},
                 {"destination", one.destination}, {"before", one.before}, {"after", one.after}});
-        std::cout << Json{{"ok", found.broken.empty() && found.dropped.empty()}, {"changes", changes},
-                         {"more_changes", found.more_changes}, {"broken", found.broken},
-                         {"dropped", found.dropped}, {"gone", found.gone}, {"come", found.come}}
+        std::cout << Json{{"ok", found.broken_expectations.empty() && found.dropped_expectations.empty()},
+                         {"changes", changes}, {"more_changes", found.omitted_changes},
+                         {"broken", found.broken_expectations}, {"dropped", found.dropped_expectations},
+                         {"gone", found.removed_destinations}, {"come", found.added_destinations}}
                          .dump(2)
                   << '\n';
     } else {
-        for (const std::string& name : found.gone) std::cout << "gone: destination " << name << '\n';
-        for (const std::string& name : found.come) std::cout << "new: destination " << name << '\n';
+        for (const std::string& name : found.removed_destinations)
+            std::cout << "gone: destination " << name << '\n';
+        for (const std::string& name : found.added_destinations)
+            std::cout << "new: destination " << name << '\n';
         for (const auto& one : found.changes)
             std::cout << "changed: " << one.message_class << (one.tenant.empty() ? "" : " of " + one.tenant)
                       << " for " << one.destination << ": " << one.before << " -> " << one.after << '\n';
-        if (found.more_changes > 0) std::cout << "and " << found.more_changes << " changes more\n";
-        for (const std::string& text : found.broken) std::cout << "broken: " << text << '\n';
-        for (const std::string& name : found.dropped)
+        if (found.omitted_changes > 0) std::cout << "and " << found.omitted_changes << " changes more\n";
+        for (const std::string& text : found.broken_expectations) std::cout << "broken: " << text << '\n';
+        for (const std::string& name : found.dropped_expectations)
             std::cout << "dropped: expectation \"" << name << "\" is not in the new file\n";
-        if (found.gone.empty() && found.come.empty() && found.changes.empty() && found.broken.empty() &&
-            found.dropped.empty())
+        if (found.removed_destinations.empty() && found.added_destinations.empty() && found.changes.empty() &&
+            found.broken_expectations.empty() && found.dropped_expectations.empty())
             std::cout << "no route changes\n";
     }
-    return found.broken.empty() && found.dropped.empty() ? kWell : kWrong;
+    return found.broken_expectations.empty() && found.dropped_expectations.empty() ? kWell : kWrong;
 }
 
 int print_routes(const Sources& sources, bool json) {
     const auto loaded = loaded_or_told(sources, json);
     if (!loaded) return kWrong;
-    const auto rows = routes::rows_of(loaded->scene());
+    const auto rows = routes::routing_rows(loaded->scene());
     if (json)
         std::cout << json_of(rows).dump(2) << '\n';
     else
--- a/src/program/load.cpp
+++ b/src/program/load.cpp
@@ -13,23 +13,23 @@
 
 namespace {
 
-routes::Known known_of(const Config& config, const OperatorFile& file) {
+routes::KnownNames known_of(const Config& config, const OperatorFile& file) {
     const auto names = [](const cometspoke::settings::Index& index) {
         std::vector<std::string> all(index.size());
         for (const auto& [name, place] : index) all[place] = name;
         return all;
     };
-    routes::Known known{names(config.names.classes), names(config.names.tenants), names(config.names.kinds),
-        names(config.names.zones), {}};
+    routes::KnownNames known{names(config.names.classes), names(config.names.tenants),
+        names(config.names.kinds), names(config.names.zones), {}};
     for (const auto& row : file.classes)
         for (const auto& kind : row.kinds) known.class_kinds[row.name.text].push_back(kind.text);
     return known;
 }
 
 /// Tells where discovery has an endpoint elsewhere than the operator's file says.
-void check_moved(const OperatorFile& file, const routes::Members& listed, Problems& problems) {
+void check_moved(const OperatorFile& file, const routes::EndpointIndex& listed, Problems& problems) {
     std::map<std::string, std::int64_t> at;
-    for (const auto& [number, members] : listed.all())
+    for (const auto& [number, members] : listed.by_destination())
         for (const auto& one : members) at.emplace(one.id, number);
     for (const auto& destination : file.destinations)
         for (const auto& endpoint : destination.endpoints)
@@ -42,9 +42,9 @@
 }
 
 /// The list that the platform has may be anything: the start does not hang on it, nor does a reload.
-std::optional<routes::Members> listed(const Json& list, bool needed, Problems& problems) try {
+std::optional<routes::EndpointIndex> listed(const Json& list, bool needed, Problems& problems) try {
     if (!list.is_object() || !list.contains("members")) return std::nullopt;
-    routes::Members members;
+    routes::EndpointIndex members;
     for (const Target& target : list_of(list).targets)
         if (target.condition != cometspoke::Condition::Gone)
             members.put({target.id, target.destination, target.kind, target.zone, target.condition});
@@ -95,13 +95,13 @@
         return std::nullopt;
     }
     loaded.known = known_of(loaded.config, loaded.file);
-    loaded.table = routes::Table(loaded.file, loaded.known, problems);
+    loaded.table = routes::RoutingTable(loaded.file, loaded.known, problems);
     const bool given = !sources.members.empty();
     auto members =
         listed(given ? json_file(sources.members, problems) : loaded.config.known, given, problems);
     if (members) check_moved(loaded.file, *members, problems);
-    loaded.members = members && !members->empty() ? std::move(*members) : routes::members_of(loaded.file);
-    if (problems.empty()) routes::run_expectations(loaded.scene(), problems, progress);
+    loaded.members = members && !members->empty() ? std::move(*members) : routes::endpoints_from(loaded.file);
+    if (problems.empty()) routes::check_expectations(loaded.scene(), problems, progress);
     return problems.empty() ? std::optional(std::move(loaded)) : std::nullopt;
 }
 
--- a/src/program/load.hpp
+++ b/src/program/load.hpp
@@ -28,13 +28,13 @@
 struct Loaded {
     Config config;
     config::OperatorFile file;
-    routes::Known known;
-    routes::Table table;
-    routes::Members members;
-    routes::Scene scene() const { return {file, table, known, members, standing_of(config)}; }
+    routes::KnownNames known;
+    routes::RoutingTable table;
+    routes::EndpointIndex members;
+    routes::RoutingContext scene() const { return {file, table, known, members, standing_of(config)}; }
 };
 
-/// None where there is any problem. `progress`: see routes::run_expectations.
+/// None where there is any problem. `progress`: see routes::check_expectations.
 std::optional<Loaded> load(const Sources& sources, config::Problems& problems,
     const std::function<void(std::size_t, std::size_t)>& progress = {});
 /// What of `fresh` cannot be taken over by a running process; each becomes a problem.
--- a/src/program/rows.cpp
+++ b/src/program/rows.cpp
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-Json json_of(const std::vector<routes::Row>& rows) {
+Json json_of(const std::vector<routes::RoutingRow>& rows) {
     Json all = Json::array();
     for (const auto& row : rows)
         all.push_back({{"destination", row.destination}, {"class", row.message_class}, {"tenant", row.tenant},
@@ -22,15 +22,15 @@
     return all;
 }
 
-std::vector<routes::Row> rows_from(const Json& rows) {
-    std::vector<routes::Row> all;
+std::vector<routes::RoutingRow> rows_from(const Json& rows) {
+    std::vector<routes::RoutingRow> all;
     for (const Json& row : rows)
         all.push_back({row.at("destination"), row.at("class"), row.at("tenant"), row.at("refused"),
             row.at("endpoints"), row.at("rule")});
     return all;
 }
 
-void print(std::ostream& out, const std::vector<routes::Row>& rows) {
+void print(std::ostream& out, const std::vector<routes::RoutingRow>& rows) {
     std::size_t widths[3] = {11, 5, 6};
     for (const auto& row : rows) {
         widths[0] = std::max(widths[0], row.destination.size());
--- a/src/program/rows.hpp
+++ b/src/program/rows.hpp
@@ -8,8 +8,8 @@
 
 namespace lockgw::program {
 
-Json json_of(const std::vector<routes::Row>& rows);
-std::vector<routes::Row> rows_from(const Json& rows);
-void print(std::ostream& out, const std::vector<routes::Row>& rows);
+Json json_of(const std::vector<routes::RoutingRow>& rows);
+std::vector<routes::RoutingRow> rows_from(const Json& rows);
+void print(std::ostream& out, const std::vector<routes::RoutingRow>& rows);
 
 }  // namespace lockgw::program
--- a/src/program/serve.cpp
+++ b/src/program/serve.cpp
@@ -23,7 +23,7 @@
     return what;
 }
 
-std::set<std::string> ids_of(const routes::Members& members) {
+std::set<std::string> ids_of(const routes::EndpointIndex& members) {
     std::set<std::string> ids;
     for (const auto& [destination, all] : members.all())
         for (const auto& one : all) ids.insert(one.id);
--- a/src/program/service.cpp
+++ b/src/program/service.cpp
@@ -33,10 +33,10 @@
 config::PlanScene plan_scene(Forwarder& forwarder) {
     config::PlanScene scene;
     scene.members = forwarder.work().members();
-    for (const auto& [destination, members] : forwarder.members().all())
+    for (const auto& [destination, members] : forwarder.members().by_destination())
         for (const auto& one : members) scene.targets.push_back({one.id, destination, 1});
     scene.whole = !scene.targets.empty();
-    scene.name_of = [&forwarder](std::int64_t number) { return forwarder.routes().name_of(number); };
+    scene.name_of = [&forwarder](std::int64_t number) { return forwarder.routes().destination_name(number); };
     return scene;
 }
 
@@ -72,8 +72,8 @@
     verbs_.add("spread", [this](const Json&) { return forwarder_.spread(); });
     verbs_.add("tier", [this](const Json&) { return forwarder_.tier(); });
     verbs_.add("routes", [this](const Json&) {
-        return json_of(
-            routes::rows_of({running_->file, forwarder_.routes(), running_->known, forwarder_.members()}));
+        return json_of(routes::routing_rows(
+            {running_->file, forwarder_.routes(), running_->known, forwarder_.members()}));
     });
     verbs_.add("return", [this](const Json&) { return forwarder_.recovery_status(); });
     verbs_.add_later("capture", [this](const Json& args, control::Promise promise) {
--- a/src/program/work.cpp
+++ b/src/program/work.cpp
@@ -116,11 +116,11 @@
     const auto loaded = load(only, problems);
     if (!loaded) return std::cerr << problems.text(), kWrong;
     config::PlanScene scene;
-    for (const auto& [destination, members] : loaded->members.all())
+    for (const auto& [destination, members] : loaded->members.by_destination())
         for (const auto& one : members) scene.targets.push_back({one.id, destination, 1});
     scene.whole = !scene.targets.empty();
     scene.members = loaded->config.peers.size();
-    scene.name_of = [&loaded](std::int64_t number) { return loaded->table.name_of(number); };
+    scene.name_of = [&loaded](std::int64_t number) { return loaded->table.destination_name(number); };
     std::vector<std::pair<std::string, work::Plan>> read;
     bool well = true;
     for (const std::string& path : plans) {
--- a/src/rate_limits/gossip_schedule.hpp
+++ b/src/rate_limits/gossip_schedule.hpp
@@ -1,7 +1,8 @@
-/// When rate limit reports are gossiped, and to which peers: a few chosen at random, so that a new report
-/// reaches a hundred forwarders within some rounds.
+/// When rate limit reports are gossiped, and to which peers: a few chosen at random each time, so that a new
+/// report reaches a hundred forwarders within a few rounds.
 ///
-/// No I/O, no clock; draws from the caller's random numbers, so that a replay sends the same.
+/// No I/O, no clock. Random numbers come from the caller's generator, so that a replay sends the same
+/// messages.
 #pragma once
 
 #include <random>
@@ -12,12 +13,12 @@
 
 namespace lockgw::rate_limits {
 
-constexpr Time kGossipInterval{
-    250'000};  // mean time between the messages of one forwarder; each interval is jittered
+/// Mean interval between the rounds of one forwarder; each interval is jittered by up to half of it.
+constexpr Time kGossipInterval{250'000};
 constexpr int kGossipFanout = 3;  // peers that each message is sent to
 
-/// The messages that forwarder `own` of `senders` (two or more) has to send at `now`. Sets `next`, the
-/// earliest time of the following ones.
+/// Returns the messages that forwarder `own` of `senders` (two or more) sends at `now`, and sets `next`, the
+/// earliest time of the next round.
 template <class Random>
 std::vector<cometspoke::TellPeers> messages_due(
     RateLimitTable& table, Time now, std::size_t senders, std::size_t own, Random& random, Time& next) {
--- a/src/rate_limits/rate_limit_message.hpp
+++ b/src/rate_limits/rate_limit_message.hpp
@@ -1,9 +1,9 @@
-/// The encoding of rate limit reports in a message to a peer, of at most 256 bytes: versioned, checksummed,
-/// read strictly.
+/// The encoding of rate limit reports in a message to a peer: versioned and checksummed, at most 256 bytes
+/// long, and rejected as a whole if anything in it is invalid.
 ///
 ///   type and version (1 byte), number of reports (1), Fletcher-16 of the rest (2), then for each report: the
 ///   destination (zigzag varint), the limit in hundredths (varint), the share remaining in 255ths (1), the
-///   age in units of 2 ms (2). Little-endian. A message says nothing about attempts.
+///   age in units of 2 ms (2). Little-endian. Messages contain no information about attempts.
 #pragma once
 
 #include <cmath>
@@ -19,7 +19,7 @@
 
 constexpr std::size_t kMaxMessageBytes = 256;
 constexpr std::size_t kMaxReports = 14;    // each of at most 10 + 4 + 3 bytes, after the header of 4
-constexpr Time kTransitAllowance{40'000};  // longest time on the way that the age allows for
+constexpr Time kTransitAllowance{40'000};  // added to each age: the longest transit time expected
 constexpr char kMessageType = 0x11;        // type 1, version 1
 
 namespace encoding {
@@ -60,9 +60,10 @@
         encoding::put_varint(body, id << 1 ^ (report.destination < 0 ? ~std::uint64_t{0} : 0));
         encoding::put_varint(body, static_cast<std::uint64_t>(std::llround(report.limit * 100.0)));
         body.push_back(static_cast<char>(std::lround(report.remaining * 255.0)));
-        const Time age_there = now - report.observed_at + kTransitAllowance +
-                               Time(1999);  // rounded up: a report that is passed on never gets younger
-        const auto age = std::clamp<Time::rep>(age_there.count() / 2000, 0, 65535);
+        const Time age_at_receiver =
+            now - report.observed_at + kTransitAllowance +
+            Time(1999);  // rounded up: a report never gets younger by being passed on
+        const auto age = std::clamp<Time::rep>(age_at_receiver.count() / 2000, 0, 65535);
         body.push_back(static_cast<char>(age & 255));
         body.push_back(static_cast<char>(age >> 8));
     }
--- a/src/rate_limits/rate_limit_table.hpp
+++ b/src/rate_limits/rate_limit_table.hpp
@@ -1,8 +1,9 @@
-/// The latest report on each destination's rate limit, from own answers and from peers.
+/// The latest report on each destination's rate limit, from the forwarder's own answers and from peers.
 ///
-/// No I/O, no clock: times are the caller's. Reports are merged by age: the newer of two wins, of two of the
-/// same age the one with less remaining. Merging is commutative, associative and idempotent. Messages carry
-/// ages, never a foreign clock. Its size is bounded by the caller, who forgets destinations that are gone.
+/// No I/O, no clock: times are the caller's. Of two reports on a destination the newer one is kept; of two of
+/// the same age, the one with less remaining. Merging is commutative, associative and idempotent. Messages
+/// carry ages, never a time of another forwarder's clock. The table does not limit its size: the caller
+/// forgets destinations that are gone.
 #pragma once
 
 #include <algorithm>
@@ -31,42 +32,42 @@
 
 class RateLimitTable {
 public:
-    static constexpr int kTransmissions = 3;             ///< how often a report is passed on,
+    static constexpr int kTransmissions = 3;             ///< number of times that a report is passed on,
     static constexpr Time kMaxAge{3'000'000};            ///< unless it is older than this
-    static constexpr double kMinRemainingChange = 0.15;  ///< a change below this is not passed on;
-    static constexpr double kMinLimitChange = 0.1;       ///< the same of the limit, as a share of it
+    static constexpr double kMinRemainingChange = 0.15;  ///< smaller changes are not passed on
+    static constexpr double kMinLimitChange = 0.1;       ///< the same for the limit, as a share of it
     static constexpr double kMaxLimit = 1'000'000;       ///< calls a second; a report above it is invalid
 
-    /// Returns whether the report was taken: it is valid and newer than the one held.
+    /// Returns whether the report was accepted: it is valid and newer than the one in the table.
     bool merge(const RateLimitReport& report) {
         if (!(report.limit > 0 && report.limit <= kMaxLimit && report.remaining >= 0 &&
                 report.remaining <= 1))
             return false;
-        const auto [found, fresh] = records_.try_emplace(
+        const auto [found, inserted] = records_.try_emplace(
             report.destination, Record{report.limit, report.remaining, report.observed_at, 0, 0.0, 0.0});
         Record& record = found->second;
-        if (!fresh && std::tuple(record.observed_at, -record.remaining, -record.limit) >=
-                          std::tuple(report.observed_at, -report.remaining, -report.limit))
+        if (!inserted && std::tuple(record.observed_at, -record.remaining, -record.limit) >=
+                             std::tuple(report.observed_at, -report.remaining, -report.limit))
             return false;
         unsent_.erase({record.observed_at, report.destination});
-        const bool same = !fresh &&
-                          std::abs(report.remaining - record.sent_remaining) < kMinRemainingChange &&
-                          std::abs(report.limit - record.sent_limit) < kMinLimitChange * record.sent_limit;
+        const bool unchanged =
+            !inserted && std::abs(report.remaining - record.sent_remaining) < kMinRemainingChange &&
+            std::abs(report.limit - record.sent_limit) < kMinLimitChange * record.sent_limit;
         record = {report.limit, report.remaining, report.observed_at,
-            same ? record.transmissions : kTransmissions, same ? record.sent_limit : report.limit,
-            same ? record.sent_remaining : report.remaining};
+            unchanged ? record.transmissions : kTransmissions, unchanged ? record.sent_limit : report.limit,
+            unchanged ? record.sent_remaining : report.remaining};
         if (record.transmissions > 0) unsent_.insert({record.observed_at, report.destination});
         return true;
     }
     bool has_unsent() const { return !unsent_.empty(); }
-    /// The newest of the reports that are still to be passed on, `most` at most; counts one transmission of
-    /// each.
-    std::vector<RateLimitReport> take_unsent(std::size_t most, Time now) {
+    /// Returns the newest reports that are still to be passed on, at most `max_count`, and counts one
+    /// transmission of each. Drops those older than kMaxAge.
+    std::vector<RateLimitReport> take_unsent(std::size_t max_count, Time now) {
         unsent_.erase(unsent_.begin(), unsent_.lower_bound({now - kMaxAge, 0}));
         std::vector<RateLimitReport> taken;
-        for (auto place = unsent_.rbegin(); place != unsent_.rend() && taken.size() < most; ++place) {
-            const Record& record = records_.at(place->second);
-            taken.push_back({place->second, record.limit, record.remaining, record.observed_at});
+        for (auto unsent = unsent_.rbegin(); unsent != unsent_.rend() && taken.size() < max_count; ++unsent) {
+            const Record& record = records_.at(unsent->second);
+            taken.push_back({unsent->second, record.limit, record.remaining, record.observed_at});
         }
         for (const RateLimitReport& report : taken)
             if (--records_.at(report.destination).transmissions == 0)
@@ -93,7 +94,7 @@
     }
     std::size_t size() const { return records_.size(); }
 
-    /// A report and what was passed on of it; public for the archive of captures.
+    /// A report and the values of it that were last passed on; public because captures serialise it.
     struct Record {
         double limit = 0.0, remaining = 0.0;
         Time observed_at{0};
--- a/src/routes/expectations.hpp
+++ b/src/routes/expectations.hpp
@@ -1,54 +1,58 @@
-/// What the operator expects of the routes, checked without any traffic; and what a new file would change.
+/// Checks what the operator expects of the routes, without any traffic, and compares two configurations.
 ///
-/// Expectations are run by `lockgw check`, at the start and before a new file takes effect. No I/O, no clock.
+/// Expectations are checked by `lockgw check`, at the start, and before a new file takes effect. No I/O, no
+/// clock.
 #pragma once
 
 #include <functional>
 #include <string>
 #include <vector>
 
-#include "routes/table.hpp"
-#include "spread/planner.hpp"
+#include "routes/routing_table.hpp"
+#include "subsetting/subset_planner.hpp"
 
 namespace lockgw::routes {
 
-struct Scene {
+/// A loaded configuration, as far as routing depends on it. The referenced objects must outlive it.
+struct RoutingContext {
     const config::OperatorFile& file;
-    const Table& table;
-    const Known& known;
-    const Members& members;
-    /// Of the tier that the forwarder is one of: it decides how many connections go to one endpoint.
-    spread::Standing standing{};
+    const RoutingTable& table;
+    const KnownNames& known;
+    const EndpointIndex& endpoints;
+    /// Of this forwarder's cluster; they determine how many connections go to one endpoint.
+    subsetting::SubsetParameters subset_parameters{};
 };
 
-/// Each expectation that does not hold, names what is not there, or contradicts another becomes a problem
-/// with its place; it names the rule that decided, the destination, what was expected and what was found.
-/// `progress(done, of)` is called now and then, where it is given.
-void run_expectations(const Scene& scene, config::Problems& problems,
+/// Adds a problem, with its place in the file, for each expectation that fails, names something unknown or
+/// contradicts another. The text gives the rule that decided, the destination, and what was expected and
+/// found. `progress(done, total)` is called from time to time, if given.
+void check_expectations(const RoutingContext& context, config::Problems& problems,
     const std::function<void(std::size_t, std::size_t)>& progress = {});
 
-struct Change {
-    std::string message_class, tenant, destination;  ///< an empty tenant: where there are none
-    std::string before, after;                       ///< in words: endpoints or "refused", and by which rule
+/// A class, tenant and destination whose messages are routed differently.
+struct RoutingChange {
+    std::string message_class, tenant, destination;  ///< the tenant is empty if there are no tenants
+    std::string before, after;                       ///< as text: endpoints or "refused", and the rule
 };
-struct Difference {
-    std::vector<Change> changes;
-    std::size_t more_changes = 0;         ///< beyond those listed
-    std::vector<std::string> broken;      ///< expectations of the old file that the new one does not keep
-    std::vector<std::string> dropped;     ///< those that the new file no longer has, by name
-    std::vector<std::string> gone, come;  ///< destinations by name
+struct RoutingDifference {
+    std::vector<RoutingChange> changes;
+    std::size_t omitted_changes = 0;                ///< changes beyond those listed
+    std::vector<std::string> broken_expectations;   ///< of the old file, as problems under the new one
+    std::vector<std::string> dropped_expectations;  ///< of the old file and missing in the new one, by name
+    std::vector<std::string> removed_destinations, added_destinations;  ///< by name
 };
-/// What a message would meet under `after` that it did not under `before`.
-Difference difference(const Scene& before, const Scene& after, std::size_t most_changes = 100);
-
-/// The table of routes as it would be in force: one row for each class, tenant and destination, equal rows of
-/// classes and tenants together.
-struct Row {
-    std::string destination, message_class, tenant;  ///< "*" where all have the same
+/// Compares how messages are routed under two configurations; lists at most `max_changes` changes.
+RoutingDifference compare_routing(
+    const RoutingContext& before, const RoutingContext& after, std::size_t max_changes = 100);
+
+/// One row of the effective routing table, for a destination, class and tenant. A single row stands for all
+/// tenants, or for all classes, of a destination that are routed alike.
+struct RoutingRow {
+    std::string destination, message_class, tenant;  ///< "*": the same for all
     bool refused = false;
-    std::vector<std::string> endpoints;
+    std::vector<std::string> endpoints;  ///< names of the endpoints eligible now
     std::string rule;
 };
-std::vector<Row> rows_of(const Scene& scene);
+std::vector<RoutingRow> routing_rows(const RoutingContext& context);
 
 }  // namespace lockgw::routes
--- a/tests/fuzz/config_fuzz.cpp
+++ b/tests/fuzz/config_fuzz.cpp
@@ -18,8 +18,8 @@
     std::abort();
 }
 
-routes::Known known_of(const config::OperatorFile& file) {
-    routes::Known known;
+routes::KnownNames known_of(const config::OperatorFile& file) {
+    routes::KnownNames known;
     for (const auto& row : file.classes) {
         known.classes.push_back(row.name.text);
         for (const auto& kind : row.kinds) known.class_kinds[row.name.text].push_back(kind.text);
@@ -35,11 +35,11 @@
     const auto file = config::read_operator_file(text, "f", problems);
     if (!problems.empty()) return problems.text();
     const auto known = known_of(file);
-    const routes::Table table(file, known, problems);
+    const routes::RoutingTable table(file, known, problems);
     if (!problems.empty()) return problems.text();
-    const auto members = routes::members_of(file);
-    routes::run_expectations({file, table, known, members}, problems);
-    routes::rows_of({file, table, known, members});
+    const auto members = routes::endpoints_from(file);
+    routes::check_expectations({file, table, known, members}, problems);
+    routes::routing_rows({file, table, known, members});
     return problems.text();
 }
 
--- a/tests/layers.cmake
+++ b/tests/layers.cmake
@@ -1,7 +1,7 @@
 cmake_minimum_required(VERSION 3.22)
 # Includes point downwards only: a package may include itself and those before it in this list.
 #   cmake -DSOURCE=src -P tests/layers.cmake
-set(order cometspoke base containers spread rate_limits records policy logging background tier work notes recovery capture config routes admission membership operations store handover core
+set(order cometspoke base containers subsetting rate_limits records policy logging background tier work notes recovery capture config routes admission membership operations store handover core
     fronts deliveries control console program)
 # Beside the way of a message: the adapter to the simulator stands on the settings alone.
 set(may_simulator cometspoke config simulator)
--- a/tests/rate_limits_test.cpp
+++ b/tests/rate_limits_test.cpp
@@ -1,4 +1,5 @@
-// What peers tell of limits: merge laws, the note's form, and what a sender makes of it.
+// Rate limit reports of peers: the invariants of merging, the message encoding, and how a sender uses the
+// reports.
 #include <algorithm>
 #include <cmath>
 #include <limits>
@@ -12,7 +13,7 @@
 
 using namespace lockgw::rate_limits;
 
-std::vector<RateLimitReport> random_facts(std::mt19937_64& random, std::size_t count) {
+std::vector<RateLimitReport> random_reports(std::mt19937_64& random, std::size_t count) {
     std::vector<RateLimitReport> reports;
     for (std::size_t i = 0; i < count; ++i)
         reports.push_back({static_cast<DestinationId>(random() % 4), 1.0 + static_cast<double>(random() % 3),
@@ -29,64 +30,66 @@
     return text;
 }
 
-TEST(RateLimitTable, BelievesTheSameInAnyOrderAndHoweverOften) {
+TEST(RateLimitTable, MergesToTheSameStateInAnyOrderAndWithRepeats) {
     const std::uint64_t seed = std::random_device{}();
     SCOPED_TRACE("seed " + std::to_string(seed));
     std::mt19937_64 random(seed);
     for (int run = 0; run < 500; ++run) {
-        auto reports = random_facts(random, 12);
-        RateLimitTable once, again;
-        for (const RateLimitReport& report : reports) once.merge(report);
+        auto reports = random_reports(random, 12);
+        RateLimitTable in_order, shuffled;
+        for (const RateLimitReport& report : reports) in_order.merge(report);
         for (std::size_t i = 0, n = reports.size(); i < n; ++i) reports.push_back(reports[random() % n]);
         std::shuffle(reports.begin(), reports.end(), random);
-        for (const RateLimitReport& report : reports) again.merge(report);
-        ASSERT_EQ(contents_of(once), contents_of(again));
+        for (const RateLimitReport& report : reports) shuffled.merge(report);
+        ASSERT_EQ(contents_of(in_order), contents_of(shuffled));
     }
 }
-TEST(RateLimitTable, TellsAFactAFewTimesAndNoOldOnes) {
+TEST(RateLimitTable, PassesOnAReportAFewTimesAndNoOldReports) {
     RateLimitTable table;
     EXPECT_TRUE(table.merge({1, 10, 0.5, ms(1000)}));
     for (int i = 0; i < RateLimitTable::kTransmissions; ++i)
         EXPECT_EQ(table.take_unsent(8, ms(1000)).size(), 1u);
     EXPECT_FALSE(table.has_unsent());
-    EXPECT_FALSE(table.merge({1, 20, 0.5, ms(900)}));  // older than what is believed
+    EXPECT_FALSE(table.merge({1, 20, 0.5, ms(900)}));  // older than the report in the table
     EXPECT_TRUE(table.merge({2, 10, 0.5, ms(1000)}));
     EXPECT_TRUE(table.take_unsent(8, ms(1000) + RateLimitTable::kMaxAge + ms(1)).empty());
     EXPECT_FALSE(table.has_unsent());
 }
-// What hardly differs is believed, and costs no note, until it has moved far from what was passed on.
-TEST(RateLimitTable, PassesOnWhatMakesADifference) {
+// A small change is merged but not passed on, until the sum of the changes since the last transmission is
+// large enough.
+TEST(RateLimitTable, PassesOnOnlySignificantChanges) {
     RateLimitTable table;
     Time now = ms(1000);
     table.merge({1, 20, 1.0, now});
     while (table.has_unsent()) table.take_unsent(8, now);
-    int told = 0;
+    int passed_on = 0;
     for (double remaining = 0.98; remaining > 0.69; remaining -= 0.02) {
         now += ms(100);
         EXPECT_TRUE(table.merge({1, 20, remaining, now}));
-        told += table.has_unsent();
+        passed_on += table.has_unsent();
         while (table.has_unsent()) table.take_unsent(8, now);
         EXPECT_DOUBLE_EQ(table.find(1)->remaining, remaining);
     }
-    EXPECT_EQ(told, 1);
+    EXPECT_EQ(passed_on, 1);
     EXPECT_TRUE(table.merge({1, 10, 0.7, now + ms(1)}));
     EXPECT_TRUE(table.has_unsent());
 }
-TEST(RateLimitTable, TakesNoNonsense) {
+TEST(RateLimitTable, RejectsInvalidReports) {
     RateLimitTable table;
-    for (const RateLimitReport& bad : {RateLimitReport{1, 0, 0.5, ms(1)}, RateLimitReport{1, -3, 0.5, ms(1)},
-             RateLimitReport{1, 1e9, 0.5, ms(1)}, RateLimitReport{1, 10, 1.5, ms(1)},
-             RateLimitReport{1, 10, -0.1, ms(1)}, RateLimitReport{1, NAN, 0.5, ms(1)}})
-        EXPECT_FALSE(table.merge(bad));
+    for (const RateLimitReport& invalid :
+        {RateLimitReport{1, 0, 0.5, ms(1)}, RateLimitReport{1, -3, 0.5, ms(1)},
+            RateLimitReport{1, 1e9, 0.5, ms(1)}, RateLimitReport{1, 10, 1.5, ms(1)},
+            RateLimitReport{1, 10, -0.1, ms(1)}, RateLimitReport{1, NAN, 0.5, ms(1)}})
+        EXPECT_FALSE(table.merge(invalid));
     EXPECT_EQ(table.size(), 0u);
 }
 
-TEST(LimitNote, GoesThereAndBackWithItsAge) {
+TEST(RateLimitMessage, RoundTripKeepsReportsAndTheirAge) {
     const std::vector<RateLimitReport> reports{
         {0, 44.25, 0.0, ms(990)}, {-7, 0.5, 1.0, ms(1000)}, {1'000'000'007, 229.7, 0.4, ms(0)}};
-    const std::string note = encode(reports, ms(1000));
-    EXPECT_LE(note.size(), kMaxMessageBytes);
-    const auto back = decode(note, ms(9000));  // another clock
+    const std::string message = encode(reports, ms(1000));
+    EXPECT_LE(message.size(), kMaxMessageBytes);
+    const auto back = decode(message, ms(9000));  // on the receiver's clock
     ASSERT_TRUE(back);
     ASSERT_EQ(back->size(), reports.size());
     for (std::size_t i = 0; i < reports.size(); ++i) {
@@ -98,47 +101,48 @@
         EXPECT_LE(age_back, age + kTransitAllowance + ms(4));
     }
 }
-TEST(LimitNote, HoldsTheMostInTheBytesAllowed) {
+TEST(RateLimitMessage, HoldsTheLargestReportsWithinTheSizeLimit) {
     const std::vector<RateLimitReport> reports(
         40, {std::numeric_limits<DestinationId>::min(), 1e6, 1.0, ms(0)});
-    const std::string note = encode(reports, ms(1000));
-    EXPECT_LE(note.size(), kMaxMessageBytes);
-    const auto back = decode(note, ms(1000));
+    const std::string message = encode(reports, ms(1000));
+    EXPECT_LE(message.size(), kMaxMessageBytes);
+    const auto back = decode(message, ms(1000));
     ASSERT_TRUE(back);
     EXPECT_EQ(back->size(), kMaxReports);
     EXPECT_EQ(back->front().destination, reports[0].destination);
 }
-// Going round must not make a report younger: it would be passed on for ever, and win over what is newer.
-TEST(LimitNote, AFactThatGoesRoundIsNoNews) {
-    RateLimitTable here, there;
+// Passing a report on must not make it younger: it would circulate for ever and replace newer reports.
+TEST(RateLimitMessage, AReportThatComesBackIsNotNewer) {
+    RateLimitTable sender, receiver;
     Time now = ms(1000);
-    here.merge({1, 10, 0.5, now});
+    sender.merge({1, 10, 0.5, now});
     for (int round = 0; round < 20; ++round) {
         now += ms(7);
-        const auto first = decode(encode({{1, 10, 0.5, ms(1000)}}, now), now + kTransitAllowance);
-        ASSERT_TRUE(first);
-        there.merge(first->front());
-        for (const RateLimitReport& report : there.take_unsent(8, now)) {
-            const auto echo = decode(encode({report}, now), now + kTransitAllowance);
-            ASSERT_TRUE(echo);
-            EXPECT_FALSE(here.merge(echo->front()));
+        const auto received = decode(encode({{1, 10, 0.5, ms(1000)}}, now), now + kTransitAllowance);
+        ASSERT_TRUE(received);
+        receiver.merge(received->front());
+        for (const RateLimitReport& report : receiver.take_unsent(8, now)) {
+            const auto returned = decode(encode({report}, now), now + kTransitAllowance);
+            ASSERT_TRUE(returned);
+            EXPECT_FALSE(sender.merge(returned->front()));
         }
     }
 }
-TEST(LimitNote, ASpoiltOneIsNone) {
+TEST(RateLimitMessage, RejectsDamagedMessages) {
     const std::uint64_t seed = std::random_device{}();
     SCOPED_TRACE("seed " + std::to_string(seed));
     std::mt19937_64 random(seed);
-    const std::string note = encode({{3, 44.25, 0.2, ms(990)}, {8, 230, 0.9, ms(995)}}, ms(1000));
-    for (std::size_t size = 0; size < note.size(); ++size) EXPECT_FALSE(decode(note.substr(0, size), ms(0)));
-    EXPECT_FALSE(decode(note + "x", ms(0)));
-    for (std::size_t at = 0; at < note.size(); ++at)
+    const std::string message = encode({{3, 44.25, 0.2, ms(990)}, {8, 230, 0.9, ms(995)}}, ms(1000));
+    for (std::size_t size = 0; size < message.size(); ++size)
+        EXPECT_FALSE(decode(message.substr(0, size), ms(0)));
+    EXPECT_FALSE(decode(message + "x", ms(0)));
+    for (std::size_t index = 0; index < message.size(); ++index)
         for (int bit = 0; bit < 8; ++bit) {
-            std::string spoilt = note;
-            spoilt[at] = static_cast<char>(spoilt[at] ^ (1 << bit));
-            EXPECT_FALSE(decode(spoilt, ms(0))) << at << '/' << bit;
+            std::string damaged = message;
+            damaged[index] = static_cast<char>(damaged[index] ^ (1 << bit));
+            EXPECT_FALSE(decode(damaged, ms(0))) << index << '/' << bit;
         }
-    for (int run = 0; run < 20000; ++run) {  // any bytes: never a crash
+    for (int run = 0; run < 20000; ++run) {  // arbitrary bytes must not crash the decoder
         std::string any(random() % 300, '\0');
         for (char& byte : any) byte = static_cast<char>(random());
         if (!any.empty()) any[0] = kMessageType;
@@ -146,14 +150,14 @@
     }
 }
 
-Settings one_of(std::size_t senders, bool notes = true) {
+Settings settings_of(std::size_t senders, bool gossip = true) {
     Settings settings = make_settings();
     settings.n_instances = senders;
-    settings.notes = notes;
+    settings.notes = gossip;
     settings.own_number = senders - 1;
     return settings;
 }
-std::vector<TellPeers> told_after_an_answer(Settings settings) {
+std::vector<TellPeers> messages_after_an_answer(Settings settings) {
     Rig rig(std::move(settings));
     rig.list(1, 1);
     rig.arrive(1, 1);
@@ -164,26 +168,27 @@
     return all<TellPeers>(rig.decide());
 }
 
-TEST(NotesOfPeers, WhatAnAnswerTellsGoesToAFewOthers) {
-    const auto told = told_after_an_answer(one_of(100));
-    EXPECT_EQ(told.size(), 3u);
-    for (const TellPeers& tell : told) {
-        ASSERT_TRUE(tell.to);
-        EXPECT_LT(*tell.to, 99u);  // not itself
-        const auto reports = decode(tell.bytes, ms(0));
+TEST(RateLimitGossip, SendsTheReportOfAnAnswerToAFewPeers) {
+    const auto messages = messages_after_an_answer(settings_of(100));
+    EXPECT_EQ(messages.size(), 3u);
+    for (const TellPeers& message : messages) {
+        ASSERT_TRUE(message.to);
+        EXPECT_LT(*message.to, 99u);  // not to itself
+        const auto reports = decode(message.bytes, ms(0));
         ASSERT_TRUE(reports);
         ASSERT_EQ(reports->size(), 1u);
         EXPECT_NEAR(reports->front().limit, 44.0, 0.01);
     }
 }
-TEST(NotesOfPeers, NoneWhereTheyAreNotAllowedOrTheFleetIsSmall) {
-    EXPECT_TRUE(told_after_an_answer(one_of(100, false)).empty());
-    EXPECT_TRUE(told_after_an_answer(one_of(3)).empty());
+TEST(RateLimitGossip, IsNotSentIfDisabledOrInASmallCluster) {
+    EXPECT_TRUE(messages_after_an_answer(settings_of(100, false)).empty());
+    EXPECT_TRUE(messages_after_an_answer(settings_of(3)).empty());
 }
-// A sender that was told of a used-up limit waits an even part's turn; the news that there is room frees it.
-TEST(NotesOfPeers, NewsOfRoomFreesWhoWaitsForItsTurn) {
-    for (const bool told : {false, true}) {
-        Rig rig(one_of(100));
+// A sender whose limit is used up waits as long as its even share of the limit demands; a report that some of
+// the limit remains ends the wait.
+TEST(RateLimitGossip, AReportOfRemainingLimitEndsTheWait) {
+    for (const bool reported : {false, true}) {
+        Rig rig(settings_of(100));
         rig.list(1, 1);
         rig.arrive(1, 1);
         const auto first = rig.sends();
@@ -192,14 +197,14 @@
         rig.outcome(first[0], Outcome::TurnedAway, 0, Time(0), ms(50), LoadReport{0.0, 10.0});
         rig.decide();
         rig.now += ms(500);
-        const std::string note = encode({{1, 500.0, 1.0, rig.now}}, rig.now);
-        if (told) rig.sender.observe(PeerNote{4, note}, rig.now + ms(40));
-        EXPECT_EQ(rig.pass(ms(1000)).size(), told ? 1u : 0u);
+        const std::string message = encode({{1, 500.0, 1.0, rig.now}}, rig.now);
+        if (reported) rig.sender.observe(PeerNote{4, message}, rig.now + ms(40));
+        EXPECT_EQ(rig.pass(ms(1000)).size(), reported ? 1u : 0u);
     }
 }
-// A forged note may claim a limit of next to nothing: it must not shut a partner off for hours.
-TEST(NotesOfPeers, AForgedLimitPutsATurnOffForSecondsOnly) {
-    Rig rig(one_of(100));
+// A forged report may claim a limit close to zero: it must not stop the calls to a destination for hours.
+TEST(RateLimitGossip, AForgedLowLimitDelaysCallsForSecondsOnly) {
+    Rig rig(settings_of(100));
     rig.list(1, 1);
     rig.arrive(1, 1);
     for (const Send& send : rig.sends())
@@ -211,11 +216,12 @@
     rig.arrive(2, 1);
     EXPECT_EQ(rig.pass(ms(11'000)).size(), 1u);
 }
-// Nor may one that claims a huge limit raise the budget of a partner that comes back cold: that is a rule.
-TEST(NotesOfPeers, AForgedLimitRaisesNoBudgetOfAWayBack) {
+// Nor may a forged report of a huge limit raise the call budget of a destination that recovers from an
+// outage.
+TEST(RateLimitGossip, AForgedHighLimitDoesNotRaiseTheRecoveryBudget) {
     std::size_t sent[2] = {0, 0};
     for (const bool forged : {false, true}) {
-        Rig rig(one_of(100));
+        Rig rig(settings_of(100));
         rig.list(1, 1);
         MessageId next = 1;
         rig.arrive(next++, 1);
@@ -223,7 +229,7 @@
             rig.outcome(send, Outcome::Served, 0, Time(0), ms(50), LoadReport{0.5, 40.0});
         rig.now += ms(5000);
         rig.arrive(next++, 1);
-        for (const Send& send : rig.sends()) rig.outcome(send, Outcome::TurnedAway, 0, ms(3000));  // shut
+        for (const Send& send : rig.sends()) rig.outcome(send, Outcome::TurnedAway, 0, ms(3000));  // outage
         rig.decide();
         for (int i = 0; i < 40; ++i) rig.arrive(next++, 1);
         for (const Time end = rig.now + ms(5000); rig.now < end; rig.now += ms(10)) {
@@ -236,9 +242,10 @@
     }
     EXPECT_LE(sent[1], sent[0] + 2);
 }
-// A told wait is a rule, and no note ends it; nor does one open what was never listed.
-TEST(NotesOfPeers, NoNoteEndsAToldWait) {
-    Rig rig(one_of(100));
+// A destination's retry-after binds: no report of a peer ends it, and none makes an unlisted destination
+// available.
+TEST(RateLimitGossip, NoReportEndsARetryAfter) {
+    Rig rig(settings_of(100));
     rig.list(1, 1);
     rig.arrive(1, 1);
     const auto first = rig.sends();
--- a/tests/routes_property_test.cpp
+++ b/tests/routes_property_test.cpp
@@ -1,5 +1,5 @@
-// What `check` and `routes` say is where the running program sends: random files and random directories, the
-// same load() as the commands use beside the built program.
+// Messages go where `lockgw check` and `lockgw routes` say that they go: random operator files and discovery
+// lists are loaded with load(), as by these commands, and compared with the calls of the running program.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -11,35 +11,35 @@
 namespace lockgw {
 namespace {
 
-constexpr int kDestinations = 6, kEach = 4, kRounds = 12;
+constexpr int kDestinations = 6, kTargetsEach = 4, kRounds = 12;
 
 class RoutesProperty : public MembershipTest {
 protected:
-    RoutesProperty() : MembershipTest(kDestinations * kEach) {
+    RoutesProperty() : MembershipTest(kDestinations * kTargetsEach) {
         node.config()["settings"]["tenants"] = {{{"name", "acme"}}, {{"name", "umbra"}}};
         node.config()["settings"]["kinds"] = {"shop", "lab"};
     }
-    std::size_t pick(std::size_t below) { return random() % below; }
-    bool one_in(std::size_t many) { return pick(many) == 0; }
+    std::size_t pick(std::size_t count) { return random() % count; }
+    bool one_in(std::size_t count) { return pick(count) == 0; }
     static std::string kind_of(int destination) { return destination % 2 == 0 ? "shop" : "lab"; }
     static std::string id_of(std::size_t target) { return "s-" + std::to_string(target); }
 
-    /// All targets anew: some drain, some are gone; each destination keeps one that is ready.
+    /// A list of all targets: some draining, some gone; the first of each destination is always ready.
     std::vector<Json> random_members() {
         std::vector<Json> members;
-        for (std::size_t target = 0; target < kDestinations * kEach; ++target) {
-            const int destination = static_cast<int>(target) / kEach;
-            const bool first = target % kEach == 0;
-            Json one = member(id_of(target), target, destination,
+        for (std::size_t target = 0; target < kDestinations * kTargetsEach; ++target) {
+            const int destination = static_cast<int>(target) / kTargetsEach;
+            const bool first = target % kTargetsEach == 0;
+            Json entry = member(id_of(target), target, destination,
                 first || one_in(2) ? "in_service"
                 : one_in(2)        ? "terminating"
                                    : "terminated");
-            one["flavor"] = kind_of(destination);
-            members.push_back(std::move(one));
+            entry["flavor"] = kind_of(destination);
+            members.push_back(std::move(entry));
         }
         return members;
     }
-    std::string some_of(const char* key, const std::vector<std::string>& names) {
+    std::string maybe_key(const char* key, const std::vector<std::string>& names) {
         if (one_in(2)) return "";
         return std::string(key) + " = \"" + names[pick(names.size())] + "\"\n";
     }
@@ -48,14 +48,14 @@
         for (int i = 0; i < kDestinations; ++i) {
             text += "[[destination]]\nname = \"d" + std::to_string(i) + "\"\nnumber = " + std::to_string(i) +
                     "\n";
-            for (int j = 0; j < kEach; ++j)
+            for (int j = 0; j < kTargetsEach; ++j)
                 text += "[[destination.endpoint]]\nname = \"e" + std::to_string(j) + "\"\nid = \"" +
-                        id_of(static_cast<std::size_t>(i * kEach + j)) + "\"\n";
+                        id_of(static_cast<std::size_t>(i * kTargetsEach + j)) + "\"\n";
         }
         for (std::size_t i = 0, count = 1 + pick(6); i < count; ++i) {
             text += "[[route]]\nname = \"r" + std::to_string(i) + "\"\n" +
-                    some_of("class", {"safe", "keyed", "unsafe"}) + some_of("tenant", {"acme", "umbra"}) +
-                    some_of("kind", {"shop", "lab"});
+                    maybe_key("class", {"safe", "keyed", "unsafe"}) + maybe_key("tenant", {"acme", "umbra"}) +
+                    maybe_key("kind", {"shop", "lab"});
             const std::string destination = "d" + std::to_string(pick(kDestinations));
             if (one_in(3))
                 text += "refuse = true\n";
@@ -65,7 +65,7 @@
         }
         return text;
     }
-    std::optional<program::Loaded> loaded(const std::string& file, const std::vector<Json>& members) {
+    std::optional<program::Loaded> load_files(const std::string& file, const std::vector<Json>& members) {
         write(node.folder() / "tried.toml", file);
         Json listed = members;
         write(node.folder() / "members.json",
@@ -80,7 +80,7 @@
         std::filesystem::remove(path);
         std::ofstream(path) << text;
     }
-    std::string ask(Client& client, const routes::Query& query) {
+    std::string enqueue(Client& client, const routes::Query& query) {
         const std::string id = fresh_id();
         return client.ask({"ENQUEUE", "0000000000000000", id,
             "c=" + query.message_class + ",t=" + query.tenant + ",d=30000,k=" + id +
@@ -91,8 +91,8 @@
     std::mt19937 random{20261201};
 };
 
-TEST_F(RoutesProperty, WhatIsSaidIsWhereItGoes) {
-    std::size_t refused = 0, narrowed = 0, sent = 0;
+TEST_F(RoutesProperty, CallsGoToTheEndpointsThatLoadResolves) {
+    std::size_t refused = 0, routed = 0, sent = 0;
     std::vector<Json> members = random_members();
     write(node.folder() / "operator.toml", "");
     node.set_environment("LOCKGW_CONFIG", (node.folder() / "operator.toml").string());
@@ -100,18 +100,20 @@
     Client client = node.client();
     for (int round = 0; round < kRounds; ++round) {
         std::string file = random_file();
-        std::optional<program::Loaded> said;
-        while (!(said = loaded(file, members))) file = random_file();  // a route that can match nothing
+        std::optional<program::Loaded> loaded_file;
+        while (!(loaded_file = load_files(file, members)))
+            file = random_file();  // invalid by chance: a route that can match nothing
         write(node.folder() / "operator.toml", file);
         control::ask(node.state() / "control", "reload");
         std::vector<std::pair<std::string, std::set<std::size_t>>> expected;
         const std::size_t before = targets.calls().size();
-        for (const char* kind : {"safe", "keyed", "unsafe"})
+        for (const char* message_class : {"safe", "keyed", "unsafe"})
             for (const char* tenant : {"acme", "umbra"})
                 for (int destination = 0; destination < kDestinations; ++destination) {
-                    const routes::Query query{kind, tenant, destination};
-                    const auto resolution = said->table.resolve(query, said->members.of(destination));
-                    const std::string answer = ask(client, query);
+                    const routes::Query query{message_class, tenant, destination};
+                    const auto resolution =
+                        loaded_file->table.resolve(query, loaded_file->members.endpoints_of(destination));
+                    const std::string answer = enqueue(client, query);
                     if (resolution.refused) {
                         EXPECT_EQ(answer, "-ERR refused by " + resolution.rule) << file;
                         ++refused;
@@ -123,7 +125,7 @@
                     std::set<std::size_t> allowed;
                     for (const std::string& endpoint : resolution.endpoints)
                         allowed.insert(std::stoul(endpoint.substr(2)));
-                    narrowed += resolution.route != routes::kDefault;
+                    routed += resolution.route != routes::kDefaultRoute;
                     expected.emplace_back(id, allowed);
                 }
         sent += expected.size();
@@ -139,7 +141,7 @@
         ASSERT_TRUE(directory.wait_asked_from(directory.revision(), kDeadline)) << node.log();
     }
     EXPECT_GT(refused, 20u);
-    EXPECT_GT(narrowed, 20u);
+    EXPECT_GT(routed, 20u);
     EXPECT_GT(sent, 150u);
 }
 
--- a/tests/routes_test.cpp
+++ b/tests/routes_test.cpp
@@ -1,5 +1,5 @@
-// The operator's file: a corpus of broken ones, each with the rule and line that it must fail with; routes
-// and expectations over random files; and what a new file changes.
+// The operator's file: a corpus of invalid files, each with the rule and line of the expected problem; routes
+// and expectations of random files; and the comparison of two files.
 #include <gtest/gtest.h>
 
 #include <filesystem>
@@ -22,7 +22,7 @@
 }
 
 class Corpus : public ::testing::TestWithParam<std::filesystem::path> {};
-TEST_P(Corpus, FailsWithItsRuleAtItsLine) {
+TEST_P(Corpus, ReportsTheExpectedRuleAndLine) {
     std::istringstream head(read(GetParam()));
     std::string hash, expect, rule;
     std::uint32_t line = 0;
@@ -31,15 +31,16 @@
     EXPECT_FALSE(program::load({GetParam().string(), "", "", ""}, problems));
     bool found = false;
     for (const auto& problem : problems.sorted()) found |= problem.rule == rule && problem.place.line == line;
-    EXPECT_TRUE(found) << "wanted " << rule << " in line " << line << "; found\n" << problems.text();
+    EXPECT_TRUE(found) << "expected " << rule << " in line " << line << "; found\n" << problems.text();
 }
-std::vector<std::filesystem::path> corpus() {
-    std::vector<std::filesystem::path> all;
-    for (const auto& entry : std::filesystem::directory_iterator(CORPUS_FOLDER)) all.push_back(entry.path());
-    std::sort(all.begin(), all.end());
-    return all;
+std::vector<std::filesystem::path> corpus_files() {
+    std::vector<std::filesystem::path> paths;
+    for (const auto& entry : std::filesystem::directory_iterator(CORPUS_FOLDER))
+        paths.push_back(entry.path());
+    std::sort(paths.begin(), paths.end());
+    return paths;
 }
-INSTANTIATE_TEST_SUITE_P(Config, Corpus, ::testing::ValuesIn(corpus()),
+INSTANTIATE_TEST_SUITE_P(Config, Corpus, ::testing::ValuesIn(corpus_files()),
     [](const auto& info) { return info.param.stem().string(); });
 
 class OperatorFileTest : public ::testing::Test {
@@ -47,7 +48,7 @@
     std::optional<program::Loaded> load(const std::string& text, const std::string& name = "file.toml") {
         const auto path = folder / name;
         std::filesystem::remove(
-            path);  // some file systems write a file that is cut and written anew out at once
+            path);  // some file systems flush a file at once when it is truncated and rewritten
         std::ofstream(path) << text;
         problems = Problems(name);
         return program::load({path.string(), "", "", ""}, problems);
@@ -60,42 +61,46 @@
     Problems problems{"file.toml"};
 };
 
-TEST_F(OperatorFileTest, TheExampleIsWell) {
+TEST_F(OperatorFileTest, TheExampleIsValid) {
     Problems found(EXAMPLE_FILE);
     const auto loaded = program::load({EXAMPLE_FILE, "", "", ""}, found);
     ASSERT_TRUE(loaded) << found.text();
-    const auto status = loaded->table.resolve({"status-update", "shop-supply", 3}, loaded->members.of(3));
+    const auto status =
+        loaded->table.resolve({"status-update", "shop-supply", 3}, loaded->members.endpoints_of(3));
     EXPECT_EQ(status.endpoints, std::vector<std::string>{"lab.example.org/b"});
     EXPECT_EQ(status.rule, "route \"status-to-b\"");
-    EXPECT_TRUE(loaded->table.resolve({"order-submit", "clinic-orders", 7}, loaded->members.of(7)).refused);
-    EXPECT_TRUE(loaded->table.resolve({"status-update", "shop-supply", 7}, loaded->members.of(7)).refused);
+    EXPECT_TRUE(
+        loaded->table.resolve({"order-submit", "clinic-orders", 7}, loaded->members.endpoints_of(7)).refused);
+    EXPECT_TRUE(
+        loaded->table.resolve({"status-update", "shop-supply", 7}, loaded->members.endpoints_of(7)).refused);
 }
 
-TEST_F(OperatorFileTest, ListsAllErrorsNotTheFirstAlone) {
+TEST_F(OperatorFileTest, ReportsAllErrors) {
     EXPECT_FALSE(load("[limits]\nslots = 0\nheld = \"x\"\nslts = 3\n[[class]]\nname = \"a b\"\n"));
     EXPECT_GE(problems.count(), 5u) << problems.text();
 }
 
-TEST_F(OperatorFileTest, BearsNonsense) {
+TEST_F(OperatorFileTest, RejectsInvalidInputWithoutFault) {
     std::mt19937 random(11);
-    std::string nonsense(1 << 20, '\0');
-    for (char& letter : nonsense) letter = static_cast<char>(random());
-    EXPECT_FALSE(load(nonsense));
+    std::string noise(1 << 20, '\0');
+    for (char& letter : noise) letter = static_cast<char>(random());
+    EXPECT_FALSE(load(noise));
     EXPECT_FALSE(load(std::string(1 << 20, '[')));
     EXPECT_FALSE(load(std::string(17u << 20, '#')));
-    std::string many;
-    for (int i = 0; i < 5000; ++i) many += "k" + std::to_string(i) + " = 1\n";
-    EXPECT_FALSE(load(many));
+    std::string unknown_keys;
+    for (int i = 0; i < 5000; ++i) unknown_keys += "k" + std::to_string(i) + " = 1\n";
+    EXPECT_FALSE(load(unknown_keys));
     EXPECT_LE(problems.sorted().size(), Problems::kMost);
-    const std::string example = read(EXAMPLE_FILE);  // truncated while it is written: anywhere
-    for (std::size_t at = 0; at < example.size(); at += 37) {
-        const auto loaded = load(example.substr(0, at));
-        EXPECT_TRUE(!loaded || !loaded->file.destinations.empty()) << at;
+    const std::string example = read(EXAMPLE_FILE);  // truncated anywhere, as if read while it is written
+    for (std::size_t size = 0; size < example.size(); size += 37) {
+        const auto loaded = load(example.substr(0, size));
+        EXPECT_TRUE(!loaded || !loaded->file.destinations.empty()) << size;
     }
 }
 
-// A tier of 40 by its peers; how many of them keep a connection to one endpoint of ten is known beforehand.
-TEST_F(OperatorFileTest, ExpectsConnectionsOfTheTier) {
+// An expectation on the connections that a cluster of 40, by its list of peers, keeps to one of ten
+// endpoints.
+TEST_F(OperatorFileTest, ChecksConnectionsOfTheCluster) {
     std::string text = "[instance]\nlisten = \"127.0.0.1:1\"\nstate = \"s\"\npeers = [";
     for (int i = 0; i < 40; ++i) text += "\"127.0.0.1:" + std::to_string(2000 + i) + "\",";
     text +=
@@ -104,20 +109,22 @@
     for (int i = 0; i < 10; ++i)
         text += "[[destination.endpoint]]\nname = \"e" + std::to_string(i) +
                 "\"\naddress = \"127.0.0.1:" + std::to_string(100 + i) + "\"\n";
-    const auto expecting = [&](int most, const std::string& rate, const std::string& before = "") {
-        return before + text + "[[expect]]\nname = \"few\"\ndestination = \"lab\"\nat = \"e3\"\n" +
-               "messages_per_s = " + rate + "\nconnections_at_most = " + std::to_string(most) + "\n";
+    const auto with_expectation = [&](int max_connections, const std::string& rate,
+                                      const std::string& prefix = "") {
+        return prefix + text + "[[expect]]\nname = \"few\"\ndestination = \"lab\"\nat = \"e3\"\n" +
+               "messages_per_s = " + rate + "\nconnections_at_most = " + std::to_string(max_connections) +
+               "\n";
     };
-    EXPECT_TRUE(load(expecting(5, "0.1"))) << problems.text();
-    EXPECT_FALSE(load(expecting(2, "0.1")));
+    EXPECT_TRUE(load(with_expectation(5, "0.1"))) << problems.text();
+    EXPECT_FALSE(load(with_expectation(2, "0.1")));
     EXPECT_NE(problems.text().find("expected at most 2 connections of the tier to \"e3\"; found"),
         std::string::npos)
         << problems.text();
-    EXPECT_FALSE(load(expecting(30, "100"))) << "so much traffic uses all targets";
-    EXPECT_TRUE(load(expecting(30, "1", "[spread]\nmost_targets = 2\n"))) << problems.text();
+    EXPECT_FALSE(load(with_expectation(30, "100"))) << "at this rate all targets are used";
+    EXPECT_TRUE(load(with_expectation(30, "1", "[spread]\nmost_targets = 2\n"))) << problems.text();
 }
 
-/// Random rows over few names, so that they overlap often.
+/// A file of random rows with few different names, so that they often overlap.
 std::string random_file(std::mt19937& random, std::vector<std::string>* destinations = nullptr) {
     std::ostringstream text;
     text << "[instance]\nlisten = \"127.0.0.1:1\"\nstate = \"s\"\n";
@@ -134,15 +141,15 @@
             text << "[[destination.endpoint]]\nname = \"e" << e
                  << "\"\naddress = \"127.0.0.1:" << 100 + d * 10 + e << "\"\n";
     }
-    const auto some = [&](const char* key, const char* letter, int of) {
+    const auto maybe_add = [&](const char* key, const char* prefix, int name_count) {
         if (random() % 2) return;
-        text << key << " = [\"" << letter << random() % static_cast<unsigned>(of) << "\"]\n";
+        text << key << " = [\"" << prefix << random() % static_cast<unsigned>(name_count) << "\"]\n";
     };
     for (int r = 0, routes = static_cast<int>(random() % 6); r < routes; ++r) {
         text << "[[route]]\nname = \"r" << r << "\"\n";
-        some("class", "c", 3), some("tenant", "t", 2);
+        maybe_add("class", "c", 3), maybe_add("tenant", "t", 2);
         if (random() % 4 == 0) {
-            some("kind", "k", 2), some("destination", "d", count);
+            maybe_add("kind", "k", 2), maybe_add("destination", "d", count);
             text << "refuse = true\n";
         } else {
             text << "destination = [\"d" << random() % static_cast<unsigned>(count) << "\"]\nendpoints = [\"e"
@@ -152,63 +159,63 @@
     return text.str();
 }
 
-// The compiled table against a plain reading of the rows, in the order of the file.
-TEST_F(OperatorFileTest, TheFirstRouteThatMatchesDecides) {
+// Compares the compiled table with a linear search of the rows in the order of the file.
+TEST_F(OperatorFileTest, TheFirstMatchingRouteDecides) {
     std::mt19937 random(2026);
     int checked = 0;
     for (int run = 0; run < 400; ++run) {
         const auto loaded = load(random_file(random));
-        if (!loaded) continue;  // an unreachable route, an endpoint elsewhere: by chance
-        const auto has = [](const std::vector<config::Word>& words, const std::string& one) {
+        if (!loaded)
+            continue;  // invalid by chance: an unreachable route, or an endpoint of another destination
+        const auto allows = [](const std::vector<config::Word>& words, const std::string& value) {
             return words.empty() || std::any_of(words.begin(), words.end(),
-                                        [&](const auto& word) { return word.text == one; });
+                                        [&](const auto& word) { return word.text == value; });
         };
         for (const auto& destination : loaded->file.destinations)
-            for (const char* kind : {"c0", "c1", "c2"})
+            for (const char* message_class : {"c0", "c1", "c2"})
                 for (const char* tenant : {"t0", "t1"}) {
-                    const config::RouteRow* decides = nullptr;
+                    const config::RouteRow* expected = nullptr;
                     for (const auto& row : loaded->file.routes)
-                        if (!decides && has(row.classes, kind) && has(row.tenants, tenant) &&
-                            has(row.kinds, destination.kind->text) &&
-                            has(row.destinations, destination.name.text))
-                            decides = &row;
-                    const auto found = loaded->table.resolve(
-                        {kind, tenant, destination.number}, loaded->members.of(destination.number));
+                        if (!expected && allows(row.classes, message_class) && allows(row.tenants, tenant) &&
+                            allows(row.kinds, destination.kind->text) &&
+                            allows(row.destinations, destination.name.text))
+                            expected = &row;
+                    const auto found = loaded->table.resolve({message_class, tenant, destination.number},
+                        loaded->members.endpoints_of(destination.number));
                     ASSERT_EQ(found.rule,
-                        decides ? "route \"" + decides->name.text + '"' : loaded->table.rule_of(0))
+                        expected ? "route \"" + expected->name.text + '"' : loaded->table.rule_text(0))
                         << "run " << run;
-                    ASSERT_EQ(found.refused, decides && decides->refuse);
+                    ASSERT_EQ(found.refused, expected && expected->refuse);
                     ++checked;
                 }
     }
     EXPECT_GT(checked, 300);
 }
 
-// What holds of a file is expected of it: it then fails for any other table of routes that changes it.
-TEST_F(OperatorFileTest, ExpectationsSayWhatANewFileBreaks) {
+// The expectations of the old file are checked against the new one, even if the new file does not contain
+// them.
+TEST_F(OperatorFileTest, ComparisonReportsBrokenAndDroppedExpectations) {
     const std::string old_text = read(EXAMPLE_FILE);
     const auto before = load(old_text, "old.toml");
     ASSERT_TRUE(before) << problems.text();
     const auto changed = [&](const std::string& from, const std::string& to) {
-        std::string text =
-            old_text.substr(0, old_text.find("[[expect]]"));  // its expectations silently dropped
+        std::string text = old_text.substr(0, old_text.find("[[expect]]"));  // without its expectations
         text.replace(text.find(from), from.size(), to);
         const auto after = load(text, "new.toml");
         EXPECT_TRUE(after) << problems.text();
-        return routes::difference(before->scene(), after->scene());
+        return routes::compare_routing(before->scene(), after->scene());
     };
     const auto other_endpoint = changed("endpoints = [\"b\"]", "endpoints = [\"a\"]");
-    EXPECT_EQ(other_endpoint.dropped.size(), 3u);
-    ASSERT_EQ(other_endpoint.broken.size(), 1u);
-    EXPECT_NE(other_endpoint.broken[0].find("status updates go to b"), std::string::npos);
-    EXPECT_NE(other_endpoint.broken[0].find("lab.example.org"), std::string::npos);
-    EXPECT_EQ(other_endpoint.changes.size(), 2u);  // of both tenants
-    EXPECT_EQ(changed("refuse = true", "endpoints = [\"a\"]").broken.size(), 1u);
+    EXPECT_EQ(other_endpoint.dropped_expectations.size(), 3u);
+    ASSERT_EQ(other_endpoint.broken_expectations.size(), 1u);
+    EXPECT_NE(other_endpoint.broken_expectations[0].find("status updates go to b"), std::string::npos);
+    EXPECT_NE(other_endpoint.broken_expectations[0].find("lab.example.org"), std::string::npos);
+    EXPECT_EQ(other_endpoint.changes.size(), 2u);  // one for each tenant
+    EXPECT_EQ(changed("refuse = true", "endpoints = [\"a\"]").broken_expectations.size(), 1u);
 }
 
-// An endpoint that moved: the operator's file and the list disagree, and it says so before anything is
-// loaded.
-TEST_F(OperatorFileTest, TellsAnEndpointThatMoved) {
+// The operator's file and the list of discovery place an endpoint at different destinations: loading fails.
+TEST_F(OperatorFileTest, ReportsAnEndpointThatMoved) {
     std::string text = read(EXAMPLE_FILE);
     const auto list = folder / "members.json";
     std::ofstream(list) << R"({"revision":1,"complete":true,"members":[{"id":"lab.example.org/b",)"
