--- a/src/rate_limits/rate_limit_message.hpp
+++ b/src/rate_limits/rate_limit_message.hpp
@@ -73,11 +73,12 @@
     return header + body;
 }
 
-/// Returns nothing unless `message` is a whole and undamaged message of this type and version.
+/// Decodes a message that was received at `now`. Returns nothing unless `message` is a whole and undamaged
+/// message of this type and version.
 inline std::optional<std::vector<RateLimitReport>> decode(std::string_view message, Time now) {
     if (message.size() < 4 || message.size() > kMaxMessageBytes || message[0] != kMessageType)
         return std::nullopt;
-    const auto byte = [&](std::size_t at) { return static_cast<unsigned char>(message[at]); };
+    const auto byte = [&](std::size_t index) { return static_cast<unsigned char>(message[index]); };
     const std::size_t count = byte(1);
     const auto sum = static_cast<std::uint16_t>(byte(2) | byte(3) << 8);
     std::string_view rest = message.substr(4);
--- a/src/rate_limits/rate_limit_table.hpp
+++ b/src/rate_limits/rate_limit_table.hpp
@@ -23,6 +23,7 @@
 using cometspoke::DestinationId;
 using cometspoke::Time;
 
+/// What an answer said of a destination's rate limit.
 struct RateLimitReport {
     DestinationId destination = 0;
     double limit = 0.0;      ///< calls a second from all senders
@@ -30,6 +31,7 @@
     Time observed_at{0};     ///< when an answer carried it, on the caller's clock
 };
 
+/// The latest report of each destination and how often it has still to be passed on.
 class RateLimitTable {
 public:
     static constexpr int kTransmissions = 3;             ///< number of times that a report is passed on,
@@ -74,6 +76,7 @@
                 unsent_.erase({report.observed_at, report.destination});
         return taken;
     }
+    /// The latest report; nothing if there is none.
     std::optional<RateLimitReport> find(DestinationId destination) const {
         const auto found = records_.find(destination);
         if (found == records_.end()) return std::nullopt;
@@ -86,6 +89,7 @@
             reports.push_back({destination, record.limit, record.remaining, record.observed_at});
         return reports;
     }
+    /// Drops the report, so that it is not passed on either.
     void forget(DestinationId destination) {
         const auto found = records_.find(destination);
         if (found == records_.end()) return;
--- a/src/routes/expectations.hpp
+++ b/src/routes/expectations.hpp
@@ -34,10 +34,11 @@
     std::string message_class, tenant, destination;  ///< the tenant is empty if there are no tenants
     std::string before, after;                       ///< as text: endpoints or "refused", and the rule
 };
+/// How a new configuration differs from the one before.
 struct RoutingDifference {
     std::vector<RoutingChange> changes;
     std::size_t omitted_changes = 0;                ///< changes beyond those listed
-    std::vector<std::string> broken_expectations;   ///< of the old file, as problems under the new one
+    std::vector<std::string> broken_expectations;   ///< of the old file, as problems with the new one
     std::vector<std::string> dropped_expectations;  ///< of the old file and missing in the new one, by name
     std::vector<std::string> removed_destinations, added_destinations;  ///< by name
 };
@@ -53,6 +54,7 @@
     std::vector<std::string> endpoints;  ///< names of the endpoints eligible now
     std::string rule;
 };
+/// The effective routing table of all destinations, by number.
 std::vector<RoutingRow> routing_rows(const RoutingContext& context);
 
 }  // namespace lockgw::routes
--- a/src/routes/routing_table.hpp
+++ b/src/routes/routing_table.hpp
@@ -58,10 +58,12 @@
 /// The endpoints of the operator's file, all of them ready; for use where discovery lists none.
 EndpointIndex endpoints_from(const config::OperatorFile& file);
 
+/// A message, as far as routing depends on it.
 struct Query {
     std::string message_class, tenant;
     std::int64_t destination = 0;
 };
+/// How a message is routed.
 struct Resolution {
     bool refused = false;
     RouteId route = kDefaultRoute;
@@ -69,6 +71,7 @@
     std::vector<std::string> endpoints;  ///< ids of the endpoints eligible now, in order
 };
 
+/// The operator's routes, compiled for look-up, with the names and weights that the file defines.
 class RoutingTable {
 public:
     /// No routes: all endpoints of a destination are allowed for all messages.
@@ -87,14 +90,17 @@
         return routes_[route - 1].allowed_endpoints;
     }
     std::size_t route_count() const { return routes_.size(); }
+    /// The route, as text for operators.
     std::string rule_text(RouteId route) const;
     /// Whether the class is restricted to kinds other than the destination's: such messages are refused
     /// before any route is tried.
     bool excludes_kind(
         const std::string& message_class, std::int64_t destination, const std::string& kind) const;
 
+    /// Routes a message; `endpoints`: those listed for its destination. Only ready ones are eligible.
     Resolution resolve(const Query& query, const std::vector<ListedEndpoint>& endpoints) const;
 
+    /// Nothing if no destination has this name.
     std::optional<std::int64_t> destination_number(const std::string& name) const;
     /// The destination's name, or its number as text if it has none.
     std::string destination_name(std::int64_t destination) const;
--- a/src/subsetting/hash_ring.hpp
+++ b/src/subsetting/hash_ring.hpp
@@ -26,6 +26,7 @@
 /// is 2^40 or more.
 std::uint64_t gossip_id(std::string_view id);
 
+/// A target of a forwarder's subset.
 struct SubsetTarget {
     std::string id;
     double weight = 0;   ///< share of the forwarder's calls to the destination; the weights sum to 1
@@ -44,8 +45,9 @@
     std::size_t size() const { return segments_.size(); }
 
     /// Targets that overlap the range centred on `position`, as long as `targets` average segments, for one
-    /// of `forwarders` forwarders. Below kMinSharedSize it is the target at the position alone, as long as
-    /// there are no more targets than forwarders: a connection that is seldom used does not stay open.
+    /// of `forwarders` forwarders. If `targets` is below kMinSharedSize and there are no more targets
+    /// than forwarders, returns only the target at the position: a connection that is seldom used does not
+    /// stay open.
     std::vector<SubsetTarget> subset(double position, double targets, std::size_t forwarders) const;
 
     static constexpr double kMinSharedSize = 2.0;   ///< smaller subsets consist of a single target
--- a/src/subsetting/subset_planner.hpp
+++ b/src/subsetting/subset_planner.hpp
@@ -1,11 +1,11 @@
 /// Maintains the subset of targets that this forwarder uses for each destination.
 ///
-/// Input are the listed targets and the forwarder's own messages and answers; output are the subsets that
-/// have changed. A subset has as many targets as the forwarder's own traffic keeps connections to in use: it
-/// grows and shrinks with that traffic, in steps, so that not all forwarders of a cluster change theirs at
-/// once. A target that answers far more slowly than the others of its subset gets fewer calls. A target that
-/// has just started gets its share of the calls gradually (slow start): all forwarders follow the same
-/// schedule, each at a slightly different time. No I/O, no clock: times are the caller's.
+/// The caller records listed targets, messages and answers, and takes the subsets that have changed. The size
+/// of a subset follows the forwarder's own traffic, so that the connections to all its targets stay in use.
+/// It grows and shrinks in steps, so that not all forwarders of a cluster change their subsets at once. A
+/// target that answers far more slowly than the others of its subset gets fewer calls. A target that has just
+/// started gets its share of the calls gradually (slow start): all forwarders follow the same schedule, each
+/// at a slightly different time. No I/O, no clock: times are the caller's.
 #pragma once
 
 #include <map>
@@ -53,6 +53,7 @@
 ConnectionEstimate estimate_connections(const HashRing& ring, const std::string& id,
     const SubsetParameters& parameters, const SubsetConfig& config, double rate, double answer_s);
 
+/// The subsets of one forwarder, one for each destination.
 class SubsetPlanner {
 public:
     /// In a smaller cluster, unless the operator sets bounds, a destination has a subset only if the
@@ -77,6 +78,7 @@
     /// leaves its former destination. `started_at`: when the target started, if that was recently.
     void put(const std::string& id, DestinationId destination, double size, bool ready,
         std::optional<Time> started_at = std::nullopt);
+    /// Removes the target, if there is one with this id.
     void erase(const std::string& id);
     /// Records a message for the destination, from which its message rate is measured.
     void record_message(DestinationId destination, Time now);
@@ -90,6 +92,7 @@
     /// not named.
     void apply_config(const SubsetConfig& config, std::map<std::string, double> weights);
 
+    /// A new subset, in place of the one that was last reported for the destination.
     struct Change {
         DestinationId destination;
         std::vector<SubsetTarget> targets;  ///< none: the destination no longer has a subset
