--- a/src/admission/hand_over.hpp
+++ b/src/admission/hand_over.hpp
@@ -2,7 +2,7 @@
 ///
 /// Each of the others takes `per_s` new connections a second without its own clients noticing; no forwarder
 /// is told more of them than how many there are. Clients are kept as long as they can be (who is handed on
-/// early loads the others longer), and all are let go by `end`. Laws (tests/intake_test.cpp):
+/// early loads the others longer), and all are let go by `end`. Laws (tests/admission_test.cpp):
 ///  1. Nobody is let go before there would else be too little time: end - resting / (others x per_s).
 ///  2. After that, each step lets go an even part of those that rest, and the last step all.
 ///  3. Never more than others x per_s while the time allows; where it does not, evenly over all of it.
--- a/src/admission/memory.hpp
+++ b/src/admission/memory.hpp
@@ -1,7 +1,7 @@
 /// Bytes that clients make this process hold: commands that have not ended, and requests that wait.
 ///
 /// All of it is bounded in one place, by owner (the tenant where one is told, else the source address). Laws,
-/// each with a property test (tests/intake_test.cpp):
+/// each with a property test (tests/admission_test.cpp):
 ///  1. Once over() names nobody, no more than `most` is held.
 ///  2. While several hold some, none of them holds more than half of `most`.
 ///  3. Who is named is the one that holds most: nobody pays for another.
--- a/src/core/delivery.hpp
+++ b/src/core/delivery.hpp
@@ -28,10 +28,10 @@
 
 class Delivery {
 public:
-    using Done = std::function<void(cometspoke::OutcomeEvent)>;
+    using OutcomeCallback = std::function<void(cometspoke::OutcomeEvent)>;
     /// The send gate: whether the process at this address may still have the call. Asked once a call, right
     /// before its first byte is written; where it says no the outcome is NotSent, proven never to have run.
-    using May = std::function<bool(const Call&, const Tcp::endpoint&)>;
+    using SendGate = std::function<bool(const Call&, const Tcp::endpoint&)>;
 
     virtual ~Delivery() = default;
 
@@ -40,20 +40,20 @@
     virtual void forget(EndpointId endpoint) = 0;
     /// It may have nothing new for now: idle connections are closed, and calls whose connection is still
     /// being made end as NotSent. Calls that are out are waited for.
-    virtual void withdraw(EndpointId endpoint) = 0;
-    /// Its outcome comes by Done, never from within this call.
+    virtual void stop_new_calls(EndpointId endpoint) = 0;
+    /// Its outcome comes by OutcomeCallback, never from within this call.
     virtual void start(Call call) = 0;
     /// Its outcome comes at once.
     virtual void cancel(MessageId message, std::uint32_t attempt) = 0;
     virtual void close_idle(EndpointId endpoint) = 0;
     /// One that carries nothing new, for its descriptor; false where there is none.
-    virtual bool close_one() = 0;
+    virtual bool close_one_idle() = 0;
     /// Calls that are out.
     virtual std::size_t calls() const = 0;
 };
 
 /// Makes a delivery that may hold so many descriptors.
-using MakeDelivery = std::function<std::unique_ptr<Delivery>(
-    asio::io_context&, const Config&, std::size_t most_connections, Delivery::May, Delivery::Done)>;
+using DeliveryFactory = std::function<std::unique_ptr<Delivery>(asio::io_context&, const Config&,
+    std::size_t most_connections, Delivery::SendGate, Delivery::OutcomeCallback)>;
 
 }  // namespace lockgw
--- a/src/core/descriptors.cpp
+++ b/src/core/descriptor_budget.cpp
@@ -1,4 +1,4 @@
-#include "core/descriptors.hpp"
+#include "core/descriptor_budget.hpp"
 
 #include <algorithm>
 #include <utility>
@@ -17,16 +17,16 @@
 
 }  // namespace
 
-std::size_t most_target_connections(const Config& config) {
+std::size_t max_target_connections(const Config& config) {
     const std::size_t wanted = std::max(config.sockets / 4, config.settings.slots * 3 / 2);
     return std::min(wanted, (config.sockets - other_descriptors(config)) / 2);
 }
-std::size_t most_client_connections(const Config& config) {
-    return config.sockets - most_target_connections(config) - other_descriptors(config);
+std::size_t max_client_connections(const Config& config) {
+    return config.sockets - max_target_connections(config) - other_descriptors(config);
 }
 
-Config within_descriptors(Config config) {
-    config.settings.slots = std::min(config.settings.slots, most_target_connections(config));
+Config limit_slots_to_descriptors(Config config) {
+    config.settings.slots = std::min(config.settings.slots, max_target_connections(config));
     return config;
 }
 
--- a/src/core/descriptors.hpp
+++ b/src/core/descriptor_budget.hpp
@@ -6,9 +6,9 @@
 namespace lockgw {
 
 /// As many as there are calls out, and some that rest between calls; never more than clients leave.
-std::size_t most_target_connections(const Config& config);
-std::size_t most_client_connections(const Config& config);
+std::size_t max_target_connections(const Config& config);
+std::size_t max_client_connections(const Config& config);
 /// The module must not count on more calls than there are descriptors for.
-Config within_descriptors(Config config);
+Config limit_slots_to_descriptors(Config config);
 
 }  // namespace lockgw
--- a/src/core/forwarder.cpp
+++ b/src/core/forwarder.cpp
@@ -8,7 +8,7 @@
 
 #include "base/condition.hpp"
 #include "core/clocks.hpp"
-#include "core/descriptors.hpp"
+#include "core/descriptor_budget.hpp"
 #include "core/door_limits.hpp"
 #include "core/standing.hpp"
 #include "logging/log.hpp"
@@ -53,7 +53,7 @@
 
 Forwarder::Forwarder(asio::io_context& io, Config config, const Protocols& protocols, routes::Table routes)
     : io_(io),
-      config_(within_descriptors(std::move(config))),
+      config_(limit_slots_to_descriptors(std::move(config))),
       tenants_(config_.names.tenants),
       known_(known_before(config_)),
       journal_(config_.state,
@@ -65,7 +65,7 @@
       routes_(std::move(routes)),
       planner_(standing_of(config_), config_.spread),
       delivery_(protocols.delivery(
-          io, config_, most_target_connections(config_),
+          io, config_, max_target_connections(config_),
           [this](const Call& call, const Tcp::endpoint& address) { return may_have(call, address); },
           [this](const OutcomeEvent& event) { outcome(event); })),
       discovery_(
@@ -86,7 +86,7 @@
           io, {config_, sender_, journal_, directory_, tier_},
           [this](const Event& event) { tell_module(event); }, [this] { open_turn(); }),
       work_(io, config_, tier_, work_needs()),
-      front_(protocols.front(io, config_, most_client_connections(config_), *this)),
+      front_(protocols.frontend(io, config_, max_client_connections(config_), *this)),
       timer_(io),
       drain_step_(io),
       drain_end_(io),
@@ -153,7 +153,7 @@
             const bool worked_on = cold_from_work(target.id);
             entry.cold = told_cold(target) || worked_on;
         }
-        if (entry.condition == Condition::Draining) delivery_->withdraw(*endpoint);
+        if (entry.condition == Condition::Draining) delivery_->stop_new_calls(*endpoint);
         event.entries.push_back(entry);
         planner_.put(target.id, target.destination, target.rate, entry.condition == Condition::Ready,
             began(target, entry.cold));
@@ -185,7 +185,7 @@
     return false;
 }
 
-void Forwarder::hand_in(Message message, Time left, Done done) {
+void Forwarder::submit(Message message, Time left, ReplyCallback done) {
     const MessageId id = message.id;
     if (const auto twin = newcomers_.find(id); twin != newcomers_.end()) {
         twin->second.done = [first = std::move(twin->second.done), done = std::move(done)](
@@ -197,7 +197,7 @@
     }
     // A client that met a closed connection hands the same id in once more: it is held already, or has ended
     // meanwhile, and to take it on anew would have it run twice.
-    if (journal_.find(id) != nullptr || ended_.contains(id, steady_now())) return done(Reply::taken());
+    if (journal_.find(id) != nullptr || ended_.contains(id, steady_now())) return done(Reply::accepted());
     if (!directory_.has(message.destination, std::chrono::steady_clock::now()) && !directory_.blank())
         return done(
             discovery_.view().whole() ? Reply::rejected("unknown destination") : Reply::busy(kRoomWait));
@@ -302,7 +302,7 @@
     for (const auto& [id, newcomer] : newcomers_) {
         if (replies.contains(id)) continue;
         const bool taken = journal_.take_on(newcomer.message);
-        replies.emplace(id, taken ? Reply::taken() : Reply::busy(kRoomWait));
+        replies.emplace(id, taken ? Reply::accepted() : Reply::busy(kRoomWait));
         if (!taken) tell_module(AbandonedEvent{id});
     }
     return replies;
@@ -341,7 +341,7 @@
             journal_.end_attempt(send->message, true);
         }
     for (auto& [id, reply] : replies) {
-        if (reply.kind != Reply::Kind::Taken || !journal_.withdraw(id)) continue;
+        if (reply.kind != Reply::Kind::Accepted || !journal_.withdraw(id)) continue;
         reply = Reply::busy(kRoomWait);
         tell_module(AbandonedEvent{id});
     }
@@ -428,7 +428,7 @@
     return listed.empty() ? unknown : listed.front().kind;
 }
 
-routes::Resolution Forwarder::route(const routes::Query& query) const {
+routes::Resolution Forwarder::resolve_route(const routes::Query& query) const {
     return routes_.resolve(query, members_.of(query.destination));
 }
 
@@ -455,7 +455,7 @@
         {"destinations", std::move(destinations)}};
 }
 
-void Forwarder::capture(const std::string& what, Captures::Told told) {
+void Forwarder::control_capture(const std::string& what, Captures::Told told) {
     if (what == "start")
         captures_.start(std::move(told));
     else if (what == "stop")
@@ -476,7 +476,7 @@
     open_turn();
     // What the last of them still hand in has a second to be delivered.
     const admission::HandOver plan(hand_over_limits(config_.door), config_.settings.n_instances - 1);
-    front_->hand_on(plan);
+    front_->hand_over_clients(plan);
     drain_step_.expires_after(plan.limits().end + kDrainCheck);
     drain_step_.async_wait([this](auto) { stop_if_done(); });
     drained_by_ = std::chrono::steady_clock::now() + kDrainAtMost;
@@ -491,7 +491,7 @@
     drain_end_.async_wait([this](auto) { stop_when_answered(); });
 }
 void Forwarder::stop_when_answered() {
-    const bool owes = front_->owes_answers() || !newcomers_.empty();
+    const bool owes = front_->has_pending_replies() || !newcomers_.empty();
     if (!owes || std::chrono::steady_clock::now() >= drained_by_) return stop();
     drain_end_.expires_after(kAnswersCheck);
     drain_end_.async_wait([this](auto) { stop_when_answered(); });
--- a/src/core/forwarder.hpp
+++ b/src/core/forwarder.hpp
@@ -10,7 +10,7 @@
 #include "containers/recent_set.hpp"
 #include "core/captures.hpp"
 #include "core/delivery.hpp"
-#include "core/front.hpp"
+#include "core/frontend.hpp"
 #include "core/recovery_coordinator.hpp"
 #include "core/tier.hpp"
 #include "core/work.hpp"
@@ -28,8 +28,8 @@
 
 /// The protocols that a forwarder speaks.
 struct Protocols {
-    MakeFront front;
-    MakeDelivery delivery;
+    FrontendFactory frontend;
+    DeliveryFactory delivery;
 };
 
 using cometspoke::ClassSettings;
@@ -52,33 +52,33 @@
     /// For people and programs; docs/operators/commands.md.
     Json status() const;
     /// Whom the message of a class and tenant may go to now, by this process's own list.
-    routes::Resolution route(const routes::Query& query) const;
+    routes::Resolution resolve_route(const routes::Query& query) const;
     const routes::Table& routes() const { return routes_; }
     const routes::Members& members() const { return members_; }
     /// Each destination's targets, which part of the calls they get, and why.
-    Json spread() const;
+    Json subset_status() const;
     /// Who of the tier is there, since when, and by whose word.
-    Json tier() const { return tier_.status(); }
+    Json cluster_status() const { return tier_.status(); }
     /// How it came back: what was believed, what is owed still, and when it was full.
     Json recovery_status() const { return recovery_.status(); }
     /// Machines that are taken out in order; docs/operators/work.md.
-    Work& work() { return work_; }
+    Work& maintenance() { return work_; }
     /// "start", "stop" or "keep"; `told` is called with the next decision, at once where it is none of them.
-    void capture(const std::string& what, Captures::Told told);
+    void control_capture(const std::string& what, Captures::Told told);
     /// What an operator orders: it is written down before it is a yes, and holds from then on.
-    operations::Answer order(const operations::Order& order);
+    operations::Answer execute_order(const operations::Order& order);
     /// Another process may take over whenever `wanted` says so: calls and clients are let go step by step,
     /// and then `over` is called, with nothing written any more. What it knows stands in the folder then.
-    void may_hand_over(std::function<bool()> wanted, std::function<void()> over);
+    void enable_hand_over(std::function<bool()> wanted, std::function<void()> over);
     /// Ids that it has listed.
-    std::set<std::string> listed() const;
+    std::set<std::string> listed_targets() const;
     /// Hands the clients on, goes on delivering, and stops the loop well before it would be killed.
     void drain();
 
 private:
     struct Newcomer {
         Message message;
-        Done done;
+        ReplyCallback done;
     };
 
     void come_back(bool handed_over);
@@ -115,8 +115,8 @@
     void look_at_orders();
     void carry_out(const operations::Operations& before);
     bool may_have(const Call& call, const Tcp::endpoint& address) const;
-    void hand_in(Message message, cometspoke::Time left, Done done) override;
-    bool give_descriptor() override { return delivery_->close_one(); }
+    void submit(Message message, cometspoke::Time left, ReplyCallback done) override;
+    bool free_descriptor() override { return delivery_->close_one_idle(); }
     void outcome(const cometspoke::OutcomeEvent& event);
     void observe(const cometspoke::Event& event);
     void tell_module(const cometspoke::Event& event);
@@ -185,7 +185,7 @@
     std::map<std::string, cometspoke::Time> back_from_work_;
     bool asked_ = false;              // peers have answered, or were not asked
     std::set<std::uint64_t> heeded_;  // targets out by their word
-    std::unique_ptr<Front> front_;
+    std::unique_ptr<Frontend> front_;
     asio::steady_timer timer_, drain_step_, drain_end_, orders_step_, handover_step_;
     bool turn_due_ = false, draining_ = false, listening_ = false;
     // Why no attempt may begin; each comes and goes by itself, and neither may end the other.
--- a/src/core/forwarder_changes.cpp
+++ b/src/core/forwarder_handover_orders_reload.cpp
@@ -4,7 +4,7 @@
 
 #include "capture/memory.hpp"
 #include "core/clocks.hpp"
-#include "core/descriptors.hpp"
+#include "core/descriptor_budget.hpp"
 #include "core/forwarder.hpp"
 #include "logging/log.hpp"
 
@@ -22,7 +22,7 @@
 
 // ---- another process takes over ----
 
-void Forwarder::may_hand_over(std::function<bool()> wanted, std::function<void()> over) {
+void Forwarder::enable_hand_over(std::function<bool()> wanted, std::function<void()> over) {
     wanted_ = std::move(wanted);
     over_ = std::move(over);
     look_at_handover();
@@ -92,7 +92,7 @@
     known_.reset();
 }
 
-std::set<std::string> Forwarder::listed() const {
+std::set<std::string> Forwarder::listed_targets() const {
     std::set<std::string> ids;
     directory_.each([&](EndpointId, const std::string& id) { ids.insert(id); });
     return ids;
@@ -100,7 +100,7 @@
 
 // ---- operators' orders ----
 
-operations::Answer Forwarder::order(const operations::Order& order) {
+operations::Answer Forwarder::execute_order(const operations::Order& order) {
     using operations::Answer;
     if (order.kind == operations::Order::Kind::Ready)
         return listening_ && !draining_ ? Answer{} : Answer{Answer::Kind::NotReady, "it does not serve"};
@@ -165,7 +165,7 @@
 
 void Forwarder::reload(const Config& fresh, routes::Table routes) {
     using namespace cometspoke::settings;
-    const Config bounded = within_descriptors(fresh);
+    const Config bounded = limit_slots_to_descriptors(fresh);
     InForce next = taken_over({config_.names, config_.settings, tenants_},
         {bounded.names, bounded.settings, {}}, [this](std::size_t number) { return class_in_use(number); });
     const Sender checked(next.settings, fresh.seed);  // it knows best which settings make no sense
--- a/src/core/forwarder_work.cpp
+++ b/src/core/forwarder_maintenance.cpp
@@ -89,7 +89,7 @@
 
 void Forwarder::service() {
     const bool in = orders_.now().in_service() && !work_.away();
-    front_->serve(in);
+    front_->set_in_service(in);
     tier_.leave(!in || draining_);
 }
 
--- a/src/core/forwarder_return.cpp
+++ b/src/core/forwarder_recovery.cpp
@@ -82,7 +82,7 @@
         if (recovery_.taken().out.contains(name) && heeded_.insert(name).second) out.push_back(id);
     });
     for (const std::string& id : out) {
-        const auto answer = order({operations::Order::Kind::Offline, id});
+        const auto answer = execute_order({operations::Order::Kind::Offline, id});
         log::warn("return", "out by the word of peers", {{"target", id}, {"kept", answer.yes()}});
     }
 }
--- a/src/core/forwarder_sharing.cpp
+++ b/src/core/forwarder_subsetting.cpp
@@ -37,7 +37,7 @@
     observe(SettingsEvent{config_.settings});
 }
 
-Json Forwarder::spread() const {
+Json Forwarder::subset_status() const {
     Json all = Json::array();
     for (const auto& row : planner_.rows(steady_now())) {
         Json targets = Json::array();
--- a/src/deliveries/http/targets.cpp
+++ b/src/deliveries/http/targets.cpp
@@ -243,7 +243,8 @@
 
 EndpointId endpoint_of(const TargetConnectionPtr& connection) { return connection->endpoint(); }
 
-Targets::Targets(asio::io_context& io, const Config& config, std::size_t most_connections, May may, Done done)
+Targets::Targets(asio::io_context& io, const Config& config, std::size_t most_connections, SendGate may,
+    OutcomeCallback done)
     : io_(io), config_(config), most_(most_connections), may_(std::move(may)), done_(std::move(done)) {}
 Targets::~Targets() = default;
 
@@ -251,16 +252,16 @@
     const auto [found, fresh] = addresses_.emplace(endpoint, address);
     if (fresh || found->second == address) return;
     found->second = address;
-    withdraw(endpoint);
+    stop_new_calls(endpoint);
 }
 
 /// Another target may get its address: no connection made to the one that has gone may carry its calls.
 void Targets::forget(EndpointId endpoint) {
     addresses_.erase(endpoint);
-    withdraw(endpoint);
+    stop_new_calls(endpoint);
 }
 
-void Targets::withdraw(EndpointId endpoint) {
+void Targets::stop_new_calls(EndpointId endpoint) {
     close_idle(endpoint);
     for (const auto& [name, connection] : calls_)
         if (connection->endpoint() == endpoint && connection->connecting()) connection->withdraw();
@@ -341,7 +342,7 @@
     return true;
 }
 /// For somebody else: not the one that the next call needs.
-bool Targets::close_one() {
+bool Targets::close_one_idle() {
     if (!drop_one()) return false;
     if (spare_.held()) return true;
     spare_.take();
--- a/src/deliveries/http/targets.hpp
+++ b/src/deliveries/http/targets.hpp
@@ -60,16 +60,17 @@
 
 class Targets final : public Delivery {
 public:
-    Targets(asio::io_context& io, const Config& config, std::size_t most_connections, May may, Done done);
+    Targets(asio::io_context& io, const Config& config, std::size_t most_connections, SendGate may,
+        OutcomeCallback done);
     ~Targets() override;
 
     void set_address(EndpointId endpoint, const Tcp::endpoint& address) override;
     void forget(EndpointId endpoint) override;
-    void withdraw(EndpointId endpoint) override;
+    void stop_new_calls(EndpointId endpoint) override;
     void start(Call call) override;
     void cancel(MessageId message, std::uint32_t attempt) override;
     void close_idle(EndpointId endpoint) override;
-    bool close_one() override;
+    bool close_one_idle() override;
     std::size_t calls() const override { return calls_.size(); }
 
 private:
@@ -89,8 +90,8 @@
     asio::io_context& io_;
     const Config& config_;
     std::size_t most_;
-    May may_;
-    Done done_;
+    SendGate may_;
+    OutcomeCallback done_;
     std::array<char, 16 * 1024> in_;  // of the connection that is read just now
     std::map<EndpointId, Tcp::endpoint> addresses_;
     std::map<std::pair<MessageId, std::uint32_t>, Connection> calls_;
--- a/src/fronts/resp2/clients.cpp
+++ b/src/fronts/resp2/clients.cpp
@@ -56,7 +56,7 @@
 }
 std::string text_of(const Reply& reply) {
     switch (reply.kind) {
-        case Reply::Kind::Taken:
+        case Reply::Kind::Accepted:
             return resp::simple("OK");
         case Reply::Kind::Busy:
             return busy(reply.wait);
@@ -137,7 +137,7 @@
     if (const auto farewell = door_.hand_on())
         send_away(*farewell);
     else
-        intake_.give_descriptor();
+        intake_.free_descriptor();
     if (std::exchange(pausing_, true)) return;
     pause_.expires_after(kAcceptPause);
     pause_.async_wait([this](auto cancelled) {
@@ -364,7 +364,7 @@
 
 void Clients::hand_in(Request request) {
     ++counters_.served;
-    intake_.hand_in(
+    intake_.submit(
         std::move(request.message), request.left, [session = std::move(request.session)](const Reply& reply) {
             session->answer(text_of(reply), reply.kind != Reply::Kind::Rejected);
         });
@@ -389,7 +389,7 @@
 // ---- the end ----
 
 /// Who has asked goes on being served for a while; the fronts have noticed by then.
-void Clients::serve(bool in_service) {
+void Clients::set_in_service(bool in_service) {
     if (draining_ || in_service == (service_ == Service::In)) return;
     service_ = in_service ? Service::In : Service::Leaving;
     if (ending_) return;  // all are being let go already
@@ -413,7 +413,7 @@
     }
 }
 
-void Clients::hand_on(const admission::HandOver& plan) {
+void Clients::hand_over_clients(const admission::HandOver& plan) {
     ending_ = true;
     hand_over_ = plan;
     hand_over_since_ = Clock::now();
@@ -461,7 +461,7 @@
     while (const auto resting = door_.hand_on()) Session(sessions_.at(resting->ticket))->end_sending();
 }
 
-bool Clients::owes_answers() const {
+bool Clients::has_pending_replies() const {
     return door_.count(Class::Asked) > 0 || door_.count(Class::Writing) > 0;
 }
 
--- a/src/fronts/resp2/clients.hpp
+++ b/src/fronts/resp2/clients.hpp
@@ -21,7 +21,7 @@
 #include "admission/memory.hpp"
 #include "admission/overload.hpp"
 #include "admission/read_turns.hpp"
-#include "core/front.hpp"
+#include "core/frontend.hpp"
 #include "fronts/resp2/enqueue.hpp"
 #include "fronts/resp2/listener.hpp"
 #include "fronts/resp2/resp.hpp"
@@ -39,17 +39,17 @@
     std::array<std::uint64_t, admission::kClasses> for_room{}, timed_out{};
 };
 
-class Clients final : public Front {
+class Clients final : public Frontend {
 public:
     Clients(asio::io_context& io, const Config& config, std::size_t most_connections, Intake& intake);
     ~Clients() override;
 
     void listen() override;
-    void hand_on(const admission::HandOver& plan) override;
+    void hand_over_clients(const admission::HandOver& plan) override;
     void drain() override;
     void stop_reading() override;
-    bool owes_answers() const override;
-    void serve(bool in_service) override;
+    bool has_pending_replies() const override;
+    void set_in_service(bool in_service) override;
     bool empty() const override { return door_.count() == door_.count(admission::Class::Leaving); }
     Json status() const override;
     const DoorCounters& counters() const { return counters_; }
--- a/src/program/service.cpp
+++ b/src/program/service.cpp
@@ -18,7 +18,8 @@
     return {[](auto& io, const Config& config, std::size_t most, Intake& intake) {
                 return std::make_unique<Clients>(io, config, most, intake);
             },
-        [](auto& io, const Config& config, std::size_t most, Delivery::May may, Delivery::Done done) {
+        [](auto& io, const Config& config, std::size_t most, Delivery::SendGate may,
+            Delivery::OutcomeCallback done) {
             return std::make_unique<Targets>(io, config, most, std::move(may), std::move(done));
         }};
 }
@@ -32,7 +33,7 @@
 
 config::PlanScene plan_scene(Forwarder& forwarder) {
     config::PlanScene scene;
-    scene.members = forwarder.work().members();
+    scene.members = forwarder.maintenance().members();
     for (const auto& [destination, members] : forwarder.members().all())
         for (const auto& one : members) scene.targets.push_back({one.id, destination, 1});
     scene.whole = !scene.targets.empty();
@@ -65,12 +66,12 @@
       running_(std::move(loaded)),
       forwarder_(io_, running_->config, protocols(), running_->table),
       server_(io_, verbs_),
-      console_(io_, [this](const operations::Order& order) { return forwarder_.order(order); }),
+      console_(io_, [this](const operations::Order& order) { return forwarder_.execute_order(order); }),
       worker_(io_) {
     log::set(running_->config.log);
     verbs_.add("status", [this](const Json&) { return status(); });
-    verbs_.add("spread", [this](const Json&) { return forwarder_.spread(); });
-    verbs_.add("tier", [this](const Json&) { return forwarder_.tier(); });
+    verbs_.add("spread", [this](const Json&) { return forwarder_.subset_status(); });
+    verbs_.add("tier", [this](const Json&) { return forwarder_.cluster_status(); });
     verbs_.add("routes", [this](const Json&) {
         return json_of(
             routes::rows_of({running_->file, forwarder_.routes(), running_->known, forwarder_.members()}));
@@ -78,7 +79,7 @@
     verbs_.add("return", [this](const Json&) { return forwarder_.recovery_status(); });
     verbs_.add_later("capture", [this](const Json& args, control::Promise promise) {
         const std::string what = args.value("do", "");
-        forwarder_.capture(what, [promise = std::move(promise), what](const std::string& wrong) {
+        forwarder_.control_capture(what, [promise = std::move(promise), what](const std::string& wrong) {
             wrong.empty() ? promise(Json{{"done", what}}) : promise(control::Refused(wrong));
         });
     });
@@ -87,8 +88,8 @@
     verbs_.add_later("reload", [this](const Json&, control::Promise promise) { reload(std::move(promise)); });
     verbs_.add("order", [this](const Json& args) { return ordered(args); });
     console_.work([this](const std::string& what, const std::string& machine, console::Server::Told told) {
-        if (what == "status") return told(200, forwarder_.work().status().dump() + '\n');
-        forwarder_.work().order(what, machine,
+        if (what == "status") return told(200, forwarder_.maintenance().status().dump() + '\n');
+        forwarder_.maintenance().order(what, machine,
             [told = std::move(told)](const std::string& why) { told(why.empty() ? 200 : 409, why); });
     });
     if (console >= 0)
@@ -114,7 +115,7 @@
     heed();
     forwarder_.start();
     if (running_->config.listen_fd)
-        forwarder_.may_hand_over([this] { return locks_.wanted(); },
+        forwarder_.enable_hand_over([this] { return locks_.wanted(); },
             [this] {
                 handed_over_ = true;
                 io_.stop();
@@ -170,23 +171,23 @@
 Json Service::ordered(const Json& args) {
     const auto order = order_of(args.value("what", ""), args.value("target", ""));
     if (!order) throw control::Refused("there is no such order");
-    const auto answer = forwarder_.order(*order);
+    const auto answer = forwarder_.execute_order(*order);
     if (!answer.yes()) throw control::Refused(answer.why);
     return Json{{"done", args.value("what", "")}};
 }
 void Service::work(const Json& args, control::Promise promise) {
     const std::string what = args.value("do", "status");
-    if (what == "status") return promise(forwarder_.work().status());
+    if (what == "status") return promise(forwarder_.maintenance().status());
     const auto told = [promise = std::move(promise), what](const std::string& wrong) {
         wrong.empty() ? promise(Json{{"done", what}}) : promise(control::Refused(wrong));
     };
     if (what == "request")
-        return forwarder_.work().request(args.value("for_s", 600.0), args.value("why", ""), told);
-    if (what != "plan") return forwarder_.work().order(what, args.value("machine", ""), told);
+        return forwarder_.maintenance().request(args.value("for_s", 600.0), args.value("why", ""), told);
+    if (what != "plan") return forwarder_.maintenance().order(what, args.value("machine", ""), told);
     config::Problems problems(args.value("name", "the plan"));
     const auto plan = config::read_plan(args.value("text", ""), plan_scene(forwarder_), problems);
     if (!plan) return told(problems.text());
-    forwarder_.work().plan(work::bytes_of(*plan), args.value("approve", false), told);
+    forwarder_.maintenance().plan(work::bytes_of(*plan), args.value("approve", false), told);
 }
 Json Service::status() const {
     Json all = forwarder_.status();
--- a/src/program/service.hpp
+++ b/src/program/service.hpp
@@ -38,7 +38,7 @@
     /// After run().
     bool told_to_end() const { return told_to_end_; }
     int release_console() { return console_.release(); }
-    std::set<std::string> listed() const { return forwarder_.listed(); }
+    std::set<std::string> listed() const { return forwarder_.listed_targets(); }
     std::shared_ptr<const Loaded> running() const { return running_; }
 
 private:
--- a/tests/bad_answers_test.cpp
+++ b/tests/bad_answers_test.cpp
@@ -41,7 +41,7 @@
 TEST_P(BadAnswer, WithAFirstLineOf200IsADelivery) {
     ASSERT_EQ(enqueue(*client, id), "+OK");
     answer(target.next(), 200);
-    EXPECT_TRUE(target.none_within(300ms)) << "it was sent once more";
+    EXPECT_TRUE(target.no_request_within(300ms)) << "it was sent once more";
     is_served_on_a_fresh_connection(target.connections());
 }
 
@@ -59,8 +59,8 @@
 TEST_P(BadAnswer, WithAnyOtherEndsAnUnsafeMessage) {
     ASSERT_EQ(enqueue(*client, id, "unsafe"), "+OK");
     answer(target.next(), 503);
-    EXPECT_EQ(notices(agent_request("/reports"))[0], (Json{{"ref", id}, {"result", "dead"}}));
-    EXPECT_TRUE(target.none_within(300ms)) << "it was sent once more";
+    EXPECT_EQ(final_statuses(agent_request("/reports"))[0], (Json{{"ref", id}, {"result", "dead"}}));
+    EXPECT_TRUE(target.no_request_within(300ms)) << "it was sent once more";
     is_served_on_a_fresh_connection(target.connections());
 }
 
--- a/tests/crossing_test.cpp
+++ b/tests/crossing_test.cpp
@@ -31,7 +31,7 @@
     EXPECT_FALSE(client.was_reset());
     EXPECT_EQ(client.rest(), "");
     EXPECT_EQ(owed(), 0u);
-    EXPECT_TRUE(target.none_within(0ms));
+    EXPECT_TRUE(target.no_request_within(0ms));
 }
 
 // The same behind the answer to a request that had begun before all were let go.
@@ -54,7 +54,7 @@
 
 // The last bytes of a request come in the very turn in which the process would end.
 TEST_F(ShutdownCrossing, ARequestReadInTheLastMomentIsAnswered) {
-    json["known"] = list(1, true, {});  // nobody to deliver to: what is taken on stays owed
+    json["known"] = target_list(1, true, {});  // nobody to deliver to: what is taken on stays owed
     json["settings"]["n_instances"] = 2;
     start();
     PlainClient client(address);
@@ -83,7 +83,7 @@
         beside_the_loop([&] { return target.next(); });  // no answer: the calls are waited for
     bool wanted = false, over = false;
     std::size_t looks = 0;
-    forwarder->may_hand_over(
+    forwarder->enable_hand_over(
         [&] {
             looks += wanted;
             return wanted;
@@ -97,7 +97,8 @@
     forwarder->reload(config());
     client.send(rig::command(message(other_id)));
     ASSERT_TRUE(run_until([&] { return over; }));
-    EXPECT_TRUE(target.none_within(200ms)) << "a call was begun that the other process knows nothing of";
+    EXPECT_TRUE(target.no_request_within(200ms))
+        << "a call was begun that the other process knows nothing of";
     EXPECT_EQ(client.line(), "+OK");
     forwarder.reset();
     EXPECT_EQ(Journal(folder.path(), 1 << 20).unended(), 2u);
@@ -105,7 +106,7 @@
 
 // The last bytes of a request come in the very turn in which the folder would be handed over.
 TEST_F(HandOverCrossing, ARequestReadInTheLastMomentIsAnswered) {
-    json["known"] = list(1, true, {});
+    json["known"] = target_list(1, true, {});
     start();
     PlainClient resting(address), half(address);
     const std::string request = rig::command(message(id));
@@ -114,7 +115,7 @@
     ASSERT_TRUE(run_until([&] { return resting.has_news(); }));
     ASSERT_EQ(resting.line(), "+PONG\r\n");
     bool wanted = false;
-    forwarder->may_hand_over([&] { return wanted; }, [&] { io.stop(); });
+    forwarder->enable_hand_over([&] { return wanted; }, [&] { io.stop(); });
     wanted = true;
     ASSERT_TRUE(run_until([&] { return resting.has_news(); })) << "clients are let go";
     half.send(request.substr(20));
@@ -225,7 +226,7 @@
     std::this_thread::sleep_until(handed_in + kLeft + 100ms);
     ASSERT_TRUE(run_until([&] { return owed() == 0; }));
     ASSERT_TRUE(run_until([&, until = Clock::now() + 200ms] { return Clock::now() > until; }));
-    while (!agent.none_within(0ms)) EXPECT_NE(std::string(agent.next().request.target()), "/reports");
+    while (!agent.no_request_within(0ms)) EXPECT_NE(std::string(agent.next().request.target()), "/reports");
 }
 
 // The same id once more in the turn behind the one in which its message was delivered.
@@ -239,7 +240,7 @@
     EXPECT_EQ(ask(client, message(id, "unsafe")), "+OK");
     ASSERT_TRUE(run_until([&, until = Clock::now() + 100ms] { return Clock::now() > until; }));
     EXPECT_EQ(owed(), 0u);
-    EXPECT_TRUE(target.none_within(0ms)) << "it was sent once more";
+    EXPECT_TRUE(target.no_request_within(0ms)) << "it was sent once more";
 }
 
 class RepeatedIdCrossing : public NodeTest {};
@@ -257,7 +258,7 @@
     Client again = node.client();
     EXPECT_EQ(enqueue(again, id, "unsafe"), "+OK");
     second.answer(200);
-    EXPECT_TRUE(target.none_within(300ms));
+    EXPECT_TRUE(target.no_request_within(300ms));
 }
 
 // ---- discovery ----
@@ -271,7 +272,7 @@
         for (int i = 0; i < kMembers; ++i)
             many.push_back(member("x-" + std::to_string(i), target.address(), 1000 + i));
         many.push_back(member("s-last", target.address(), kLast));
-        const std::string body = list(5, true, many).dump();
+        const std::string body = target_list(5, true, many).dump();
         start();
         beside_the_loop([this] {
             return agent.next();
@@ -355,7 +356,7 @@
     forwarder->reload(less);
     ASSERT_TRUE(run_until([&] { return forwarder->recovery_status().at("phase") != "asking"; }));
     ASSERT_TRUE(run_until([&] { return owed() == 0; })) << "it waits for ever";
-    EXPECT_TRUE(target.none_within(0ms));
+    EXPECT_TRUE(target.no_request_within(0ms));
 }
 
 // A compaction falls between a message and the terms under which it is taken on.
--- a/tests/loop_fixture.hpp
+++ b/tests/loop_fixture.hpp
@@ -16,7 +16,8 @@
     return {[](auto& io, const Config& config, std::size_t most, Intake& intake) {
                 return std::make_unique<Clients>(io, config, most, intake);
             },
-        [](auto& io, const Config& config, std::size_t most, Delivery::May may, Delivery::Done done) {
+        [](auto& io, const Config& config, std::size_t most, Delivery::SendGate may,
+            Delivery::OutcomeCallback done) {
             return std::make_unique<Targets>(io, config, most, std::move(may), std::move(done));
         }};
 }
@@ -25,7 +26,7 @@
 class LoopTest : public ::testing::Test {
 protected:
     LoopTest() : address(rig::free_endpoint()), json(make_config(text_of(address), agent.address())) {
-        json["known"] = list(1, true, {member("s-1", target.address(), 7)});
+        json["known"] = target_list(1, true, {member("s-1", target.address(), 7)});
     }
 
     Config config() const {
--- a/tests/rude_test.cpp
+++ b/tests/malformed_input_test.cpp
@@ -36,7 +36,7 @@
 // An error in the values leaves the stream readable.
 TEST_F(RudeTest, AnswersBadValuesAndReadsOn) {
     node.start_ready();
-    tell(agent_request("/v1/servers"), list(2, true, {member("s-1", target.address(), 7)}));
+    respond_json(agent_request("/v1/servers"), target_list(2, true, {member("s-1", target.address(), 7)}));
     const Exchange watch = agent_request("/v1/servers?from=2");
     Client client = node.client();
     EXPECT_EQ(client.ask({"ENQUEUE"}).substr(0, 5), "-ERR ");
@@ -175,7 +175,7 @@
     const Exchange again = agent_request("/v1/servers");
     Client client = node.client();
     expect_served(client, id);
-    tell(again, list(5, true, {member("s-1", target.address(), 7)}));
+    respond_json(again, target_list(5, true, {member("s-1", target.address(), 7)}));
     EXPECT_EQ(std::string(agent_request("/v1/servers").request.target()).find("/v1/servers?from=5"), 0u);
     expect_served(client, "00000000000000aa");
 }
@@ -191,8 +191,8 @@
 TEST_F(RudeTest, AnEntryThatStandsTwiceInAListStopsItsTargetIfOneDoes) {
     HttpStub other;
     node.start_ready();
-    tell(agent_request("/v1/servers"),
-        list(2, true,
+    respond_json(agent_request("/v1/servers"),
+        target_list(2, true,
             {member("s-1", target.address(), 7, "terminating"), member("s-1", target.address(), 7),
                 member("s-2", other.address(), 7)}));
     agent_request("/v1/servers?from=2");
@@ -201,7 +201,7 @@
         ASSERT_EQ(enqueue(client, one), "+OK");
         other.next().answer(200);
     }
-    EXPECT_TRUE(target.none_within(100ms));
+    EXPECT_TRUE(target.no_request_within(100ms));
 }
 
 // A list without end: it is given up, its memory is bounded, and messages go on meanwhile.
@@ -221,7 +221,7 @@
         most = std::max(most, node.resident_bytes());
     }
     EXPECT_LE(most, memory + kMemory);
-    tell(agent_request("/v1/servers"), list(9, true, {member("s-1", target.address(), 7)}));
+    respond_json(agent_request("/v1/servers"), target_list(9, true, {member("s-1", target.address(), 7)}));
     agent_request("/v1/servers?from=9");
     expect_served(client, "00000000000000aa");
 }
--- a/tests/net_helpers.hpp
+++ b/tests/net_helpers.hpp
@@ -88,7 +88,7 @@
         requests_.pop_front();
         return exchange;
     }
-    bool none_within(std::chrono::milliseconds span) {
+    bool no_request_within(std::chrono::milliseconds span) {
         std::unique_lock lock(mutex_);
         return !came_.wait_for(lock, span, [this] { return !requests_.empty(); });
     }
--- a/tests/node_fixture.hpp
+++ b/tests/node_fixture.hpp
@@ -15,7 +15,7 @@
     return {{"id", id}, {"host_port", address}, {"locality", "a"}, {"flavor", "shop"}, {"cell", cell},
         {"phase", phase}, {"size", 1.0}, {"up_since_ms", 0}};
 }
-inline Json list(int revision, bool complete, const std::vector<Json>& members) {
+inline Json target_list(int revision, bool complete, const std::vector<Json>& members) {
     return {{"revision", revision}, {"complete", complete}, {"members", members}};
 }
 
@@ -23,7 +23,7 @@
 class NodeTest : public ::testing::Test {
 protected:
     NodeTest() : node(make_config("127.0.0.1:1", agent.address())) {
-        node.config()["known"] = list(1, true,
+        node.config()["known"] = target_list(1, true,
             {member("s-1", target.address(), 7), member("s-99", target.address(), 99, "terminating")});
     }
 
@@ -37,22 +37,22 @@
         }
     }
     /// Watches go on coming meanwhile.
-    bool no_notice_within(std::chrono::milliseconds span) {
+    bool no_report_within(std::chrono::milliseconds span) {
         const auto until = Clock::now() + span;
         while (Clock::now() < until) {
             const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(until - Clock::now());
-            if (agent.none_within(left)) break;
+            if (agent.no_request_within(left)) break;
             if (std::string(agent.next().request.target()) == "/reports") return false;
         }
         return true;
     }
-    std::vector<Json> notices(const Exchange& report) {
+    std::vector<Json> final_statuses(const Exchange& report) {
         std::vector<Json> lines;
         std::istringstream stream(report.request.body());
         for (std::string text; std::getline(stream, text);) lines.push_back(Json::parse(text));
         return lines;
     }
-    static void tell(const Exchange& watch, const Json& told) {
+    static void respond_json(const Exchange& watch, const Json& told) {
         const std::string body = told.dump();
         watch.write("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
     }
--- a/tests/node_test.cpp
+++ b/tests/node_test.cpp
@@ -14,7 +14,7 @@
     target.next().answer(200);
     const Exchange first = agent_request("/v1/servers");
     EXPECT_EQ(std::string(first.request.target()), "/v1/servers?from=1&hold_ms=10000");
-    tell(first, list(1, false, {}));
+    respond_json(first, target_list(1, false, {}));
     EXPECT_EQ(std::string(agent_request("/v1/servers").request.target()), "/v1/servers?from=1&hold_ms=10000");
 }
 // What the agent has counts as told, and new sends must have stopped 500 ms after a drain is: however many
@@ -83,7 +83,7 @@
     node.start();
     const Exchange first = agent_request("/v1/servers");
     EXPECT_EQ(std::string(first.request.target()), "/v1/servers");
-    tell(first, list(1, true, {member("s-1", target.address(), 7)}));
+    respond_json(first, target_list(1, true, {member("s-1", target.address(), 7)}));
     EXPECT_EQ(std::string(agent_request("/v1/servers").request.target()), "/v1/servers?from=1&hold_ms=1500");
 }
 
@@ -128,7 +128,7 @@
     const Exchange call = target.next();
     EXPECT_EQ(enqueue(client, id), "+OK");
     call.answer(200);
-    EXPECT_TRUE(target.none_within(300ms));
+    EXPECT_TRUE(target.no_request_within(300ms));
 }
 
 class Repeated : public NodeTest, public ::testing::WithParamInterface<const char*> {};
@@ -141,7 +141,7 @@
     const Exchange second = target.next();
     EXPECT_EQ(second.header("X-Call-Id"), id);
     second.answer(200);
-    EXPECT_TRUE(target.none_within(300ms));
+    EXPECT_TRUE(target.no_request_within(300ms));
 }
 INSTANTIATE_TEST_SUITE_P(Node, Repeated,
     ::testing::Values("HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n",
@@ -171,9 +171,9 @@
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id, "safe", 1500), "+OK");
     target.next().answer(410);
-    EXPECT_TRUE(target.none_within(300ms));
+    EXPECT_TRUE(target.no_request_within(300ms));
     ASSERT_EQ(enqueue(client, "00000000000000aa", "safe", 1500, "B", 99), "+OK");
-    const auto ended = notices(agent_request("/reports"));
+    const auto ended = final_statuses(agent_request("/reports"));
     ASSERT_EQ(ended.size(), 1u);
     EXPECT_EQ(ended[0]["ref"], "00000000000000aa");
 }
@@ -186,7 +186,7 @@
     const Exchange call = target.next();
     call.write("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf");
     call.hang_up();
-    EXPECT_TRUE(target.none_within(500ms));
+    EXPECT_TRUE(target.no_request_within(500ms));
 }
 
 TEST_F(NodeTest, GivesUpACallByClosingAndTellsTheEnd) {
@@ -194,7 +194,7 @@
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id, "safe", 700), "+OK");
     const Exchange call = target.next();
-    const auto ended = notices(agent_request("/reports"));
+    const auto ended = final_statuses(agent_request("/reports"));
     ASSERT_EQ(ended.size(), 1u);
     EXPECT_EQ(ended[0], (Json{{"ref", id}, {"result", "dead"}}));
     EXPECT_LE(std::stoi(call.header("X-Budget-Ms")), 700);
@@ -205,8 +205,8 @@
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id, "unsafe"), "+OK");
     target.next().hang_up();
-    EXPECT_EQ(notices(agent_request("/reports"))[0], (Json{{"ref", id}, {"result", "dead"}}));
-    EXPECT_TRUE(target.none_within(300ms));
+    EXPECT_EQ(final_statuses(agent_request("/reports"))[0], (Json{{"ref", id}, {"result", "dead"}}));
+    EXPECT_TRUE(target.no_request_within(300ms));
 }
 
 // A target may close an idle connection: a call written to it would end as a reset, and an unsafe one is
@@ -253,7 +253,7 @@
 // ---- restarts ----
 
 TEST_F(NodeTest, DeliversAfterSigkillWhatItHeld) {
-    node.config()["known"] = list(1, true, {});
+    node.config()["known"] = target_list(1, true, {});
     node.start_ready();
     {
         Client client = node.client();
@@ -261,14 +261,14 @@
     }
     node.kill();
     EXPECT_TRUE(WIFSIGNALED(node.wait()));
-    node.config()["known"] = list(1, true, {member("s-1", target.address(), 7)});
+    node.config()["known"] = target_list(1, true, {member("s-1", target.address(), 7)});
     node.start_ready();
     const Exchange call = target.next();
     EXPECT_EQ(call.header("X-Call-Id"), id);
     EXPECT_EQ(call.request.body(), "kept");
     EXPECT_LT(std::stoi(call.header("X-Budget-Ms")), 30000);
     call.answer(200);
-    EXPECT_TRUE(target.none_within(300ms));
+    EXPECT_TRUE(target.no_request_within(300ms));
 }
 
 TEST_F(NodeTest, AfterSigkillAnUnsafeCallThatWasOutIsNotRepeated) {
@@ -279,8 +279,8 @@
     node.kill();
     node.wait();
     node.start_ready();
-    EXPECT_EQ(notices(agent_request("/reports"))[0], (Json{{"ref", id}, {"result", "dead"}}));
-    EXPECT_TRUE(target.none_within(300ms));
+    EXPECT_EQ(final_statuses(agent_request("/reports"))[0], (Json{{"ref", id}, {"result", "dead"}}));
+    EXPECT_TRUE(target.no_request_within(300ms));
 }
 
 TEST_F(NodeTest, AfterSigkillAKeyedCallGoesAgainInsideItsWindow) {
@@ -305,8 +305,8 @@
     std::this_thread::sleep_for(150ms);                            // the window is over
     node.config()["settings"]["classes"][1]["window_ms"] = 20000;  // it was taken under the other
     node.start_ready();
-    EXPECT_EQ(notices(agent_request("/reports"))[0]["ref"], id);
-    EXPECT_TRUE(target.none_within(300ms));
+    EXPECT_EQ(final_statuses(agent_request("/reports"))[0]["ref"], id);
+    EXPECT_TRUE(target.no_request_within(300ms));
 }
 
 TEST_F(NodeTest, AfterSigkillADeliveredMessageIsNotSentAgain) {
@@ -323,7 +323,7 @@
     node.start_ready();
     const Exchange again = target.next();
     EXPECT_EQ(again.header("X-Call-Id"), "00000000000000aa");
-    EXPECT_TRUE(target.none_within(300ms));
+    EXPECT_TRUE(target.no_request_within(300ms));
 }
 
 TEST_F(NodeTest, AfterSigkillAnOverdueMessageGetsItsNoticeAtOnce) {
@@ -336,7 +336,7 @@
     node.wait();
     std::this_thread::sleep_for(1100ms);  // its time runs out meanwhile
     node.start_ready();
-    EXPECT_EQ(notices(agent_request("/reports"))[0], (Json{{"ref", id}, {"result", "dead"}}));
+    EXPECT_EQ(final_statuses(agent_request("/reports"))[0], (Json{{"ref", id}, {"result", "dead"}}));
 }
 
 TEST_F(NodeTest, RepeatsANoticeUntilItIsConfirmed) {
@@ -352,7 +352,7 @@
     node.wait();
     node.start_ready();
     const Exchange last = agent_request("/reports");
-    EXPECT_EQ(notices(last)[0]["ref"], id);
+    EXPECT_EQ(final_statuses(last)[0]["ref"], id);
     last.answer(204);
     node.terminate();
     EXPECT_EQ(node.wait(), 0);
@@ -379,7 +379,7 @@
 }
 
 TEST_F(NodeTest, AfterSigtermEndsInTimeAndTakesUpTheRest) {
-    node.config()["known"] = list(1, true, {});
+    node.config()["known"] = target_list(1, true, {});
     node.start_ready();
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id), "+OK");
@@ -388,7 +388,7 @@
     const int status = node.wait();
     EXPECT_TRUE(WIFEXITED(status) && WEXITSTATUS(status) == 0) << status;
     EXPECT_LT(Clock::now() - begun, 3700ms + kDeadline);
-    node.config()["known"] = list(1, true, {member("s-1", target.address(), 7)});
+    node.config()["known"] = target_list(1, true, {member("s-1", target.address(), 7)});
     node.start_ready();
     EXPECT_EQ(target.next().header("X-Call-Id"), id);
 }
@@ -400,17 +400,17 @@
     node.start_ready();
     const Exchange whole = agent_request("/v1/servers");
     EXPECT_EQ(whole.request.target(), "/v1/servers");
-    tell(whole, list(5, true, {member("s-1", target.address(), 7)}));
+    respond_json(whole, target_list(5, true, {member("s-1", target.address(), 7)}));
     const Exchange watch = agent_request("/v1/servers");
     EXPECT_EQ(std::string(watch.request.target()).substr(0, 27), "/v1/servers?from=5&hold_ms=");
-    tell(watch, list(6, false,
-                    {member("s-1", target.address(), 7, "terminating"), member("s-2", other.address(), 7),
-                        {{"id", 5}}}));
+    respond_json(watch, target_list(6, false,
+                            {member("s-1", target.address(), 7, "terminating"),
+                                member("s-2", other.address(), 7), {{"id", 5}}}));
     EXPECT_EQ(std::string(agent_request("/v1/servers").request.target()).substr(0, 18), "/v1/servers?from=6");
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id), "+OK");
     EXPECT_EQ(other.next().header("X-Call-Id"), id);
-    EXPECT_TRUE(target.none_within(200ms));
+    EXPECT_TRUE(target.no_request_within(200ms));
 }
 
 TEST_F(NodeTest, ReconnectsToDiscoveryThatIsSilentOrOdd) {
@@ -419,8 +419,8 @@
     agent_request("/v1/servers").hang_up();
     agent_request("/v1/servers").write("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n{\"re");
     agent_request("/v1/servers").write("no HTTP at all\r\n\r\n");
-    tell(agent_request("/v1/servers"), Json::array());
-    tell(agent_request("/v1/servers"), list(2, false, {}));
+    respond_json(agent_request("/v1/servers"), Json::array());
+    respond_json(agent_request("/v1/servers"), target_list(2, false, {}));
     EXPECT_EQ(agent_request("/v1/servers").request.target(), "/v1/servers");  // still wants the whole list
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id), "+OK");  // and goes on with the list that it has
--- a/tests/readiness_test.cpp
+++ b/tests/readiness_test.cpp
@@ -58,7 +58,7 @@
     const OnCores cores(GetParam());
     for (std::size_t i = 0; i < kProcesses; ++i) {
         Json config = make_config("127.0.0.1:1", agent.address());
-        config["known"] = list(1, true, {member("s-1", target.address(), 7)});
+        config["known"] = target_list(1, true, {member("s-1", target.address(), 7)});
         config["settings"]["n_instances"] = kProcesses;
         config["settings"]["limits"]["most_held"] = 4000;
         nodes.push_back(std::make_unique<Node>(config));
--- a/tests/reload_test.cpp
+++ b/tests/reload_test.cpp
@@ -18,7 +18,7 @@
 TEST_F(ReloadTest, MovesToTheNewAgentWithItsNotices) {
     HttpStub fresh, other;
     node.start_ready();
-    tell(agent_request("/v1/servers"), list(5, true, {member("s-1", target.address(), 7)}));
+    respond_json(agent_request("/v1/servers"), target_list(5, true, {member("s-1", target.address(), 7)}));
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id, "safe", 100, "B", 99), "+OK");
     agent_request("/reports");  // never confirmed
@@ -30,14 +30,14 @@
         (path_of(exchange) == "/reports" ? report : whole) = exchange;
     }
     EXPECT_EQ(path_of(*whole), "/v1/servers");
-    EXPECT_EQ(notices(*report)[0]["ref"], id);
+    EXPECT_EQ(final_statuses(*report)[0]["ref"], id);
     report->answer(204);
 
     ASSERT_EQ(enqueue(client, "00000000000000aa"), "+OK");  // the last list stays in use meanwhile
     const Exchange call = target.next();
     EXPECT_EQ(call.header("X-Call-Id"), "00000000000000aa");
     call.answer(200);
-    tell(*whole, list(2, true, {member("s-2", other.address(), 7)}));
+    respond_json(*whole, target_list(2, true, {member("s-2", other.address(), 7)}));
     EXPECT_TRUE(path_of(fresh.next()).starts_with("/v1/servers?from=2&"));
     ASSERT_EQ(enqueue(client, "00000000000000bb"), "+OK");
     EXPECT_EQ(other.next().header("X-Call-Id"), "00000000000000bb");
@@ -50,9 +50,9 @@
     const Exchange old = agent_request("/v1/servers");
     node.reload(with_discovery(fresh.address()));
     const Exchange whole = fresh.next();
-    tell(old, list(9, true, {member("s-2", other.address(), 7)}));
+    respond_json(old, target_list(9, true, {member("s-2", other.address(), 7)}));
     old.hang_up();
-    tell(whole, list(2, true, {member("s-1", target.address(), 7)}));
+    respond_json(whole, target_list(2, true, {member("s-1", target.address(), 7)}));
     EXPECT_TRUE(path_of(fresh.next()).starts_with("/v1/servers?from=2&"));
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id), "+OK");
--- a/tests/retune_test.cpp
+++ b/tests/settings_reload_test.cpp
@@ -160,7 +160,7 @@
     reload(more);
     EXPECT_EQ(enqueue(client, id, "express"), "+OK");
     target.next().answer(500);  // fragile: it may have run, and ends dead at once
-    EXPECT_EQ(notices(agent_request("/reports"))[0]["result"], "dead");
+    EXPECT_EQ(final_statuses(agent_request("/reports"))[0]["result"], "dead");
     EXPECT_TRUE(enqueue(client, "00000000000000aa", "unsafe").starts_with("-ERR unknown class unsafe"));
     reload(node.config());
     EXPECT_TRUE(enqueue(client, "00000000000000ab", "express").starts_with("-ERR unknown class express"));
@@ -183,7 +183,7 @@
     EXPECT_EQ(fresh.header("X-Call-Id"), "00000000000000aa");
     fresh.answer(500);  // of the new class: it may have run
     const Exchange report = agent_request("/reports");
-    EXPECT_EQ(notices(report)[0]["ref"], "00000000000000aa");
+    EXPECT_EQ(final_statuses(report)[0]["ref"], "00000000000000aa");
     report.answer(204);
     first.answer(500);
     Exchange second = target.next();  // repeated all the same
@@ -194,7 +194,7 @@
     Exchange third = target.next();  // of three attempts, the last
     EXPECT_EQ(third.header("X-Call-Id"), id);
     third.answer(200);
-    EXPECT_TRUE(no_notice_within(300ms));
+    EXPECT_TRUE(no_report_within(300ms));
 }
 
 TEST_F(RetuneTest, NothingIsTakenOfABrokenFile) {
--- a/tests/shutdown_crossing_test.cpp
+++ b/tests/shutdown_crossing_test.cpp
@@ -76,7 +76,7 @@
 TEST_F(ShutdownCrossing, AProcessThatTakesOverGetsTheFolder) {
     start_with_nobody_to_deliver_to();
     bool wanted = false, over = false;
-    forwarder->may_hand_over([&] { return wanted; },
+    forwarder->enable_hand_over([&] { return wanted; },
         [&] {
             over = true;
             io.stop();
@@ -96,7 +96,7 @@
 // Connections that wait in the listener's queue while it is closed: they are accepted first, and what they
 // bring is answered.
 TEST_F(ShutdownCrossing, ThoseInTheListenersQueueAreServed) {
-    json["known"] = list(1, true, {});
+    json["known"] = target_list(1, true, {});
     start();
     drained_at = Clock::now();
     forwarder->drain();
@@ -161,7 +161,7 @@
     Client client(address);
     ASSERT_EQ(ask(client, message(id)), "+OK");
     bool wanted = false, over = false, asked_when_over = true;
-    forwarder->may_hand_over([&] { return wanted; },
+    forwarder->enable_hand_over([&] { return wanted; },
         [&] {
             over = true;
             asked_when_over = asks();
@@ -173,7 +173,8 @@
     ASSERT_TRUE(run_until([&] { return io.stopped(); }));
     ASSERT_TRUE(over);
     EXPECT_FALSE(asked_when_over) << "the asking ended after: the order was not forced";
-    EXPECT_TRUE(target.none_within(100ms)) << "a call was begun that the other process knows nothing of";
+    EXPECT_TRUE(target.no_request_within(100ms))
+        << "a call was begun that the other process knows nothing of";
 }
 
 }  // namespace
--- a/tests/shutdown_fixture.hpp
+++ b/tests/shutdown_fixture.hpp
@@ -10,7 +10,7 @@
 protected:
     /// What is taken on stays owed: the process ends by its time alone.
     void start_with_nobody_to_deliver_to() {
-        json["known"] = list(1, true, {});
+        json["known"] = target_list(1, true, {});
         json["settings"]["n_instances"] = 2;
         start();
     }
--- a/tests/target_test.cpp
+++ b/tests/target_test.cpp
@@ -29,7 +29,7 @@
     target.next().write(GetParam());
     expect_delivered(client, "00000000000000aa");
     EXPECT_EQ(target.connections(), 2);
-    EXPECT_TRUE(target.none_within(200ms));
+    EXPECT_TRUE(target.no_request_within(200ms));
 }
 INSTANTIATE_TEST_SUITE_P(Target, Delivered,
     ::testing::Values("HTTP/1.1 200 OK\r\nno colon here\r\n\r\n",
@@ -46,8 +46,8 @@
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id, "unsafe"), "+OK");
     target.next().write(GetParam());
-    EXPECT_EQ(notices(agent_request("/reports"))[0], (Json{{"ref", id}, {"result", "dead"}}));
-    EXPECT_TRUE(target.none_within(200ms));
+    EXPECT_EQ(final_statuses(agent_request("/reports"))[0], (Json{{"ref", id}, {"result", "dead"}}));
+    EXPECT_TRUE(target.no_request_within(200ms));
 }
 INSTANTIATE_TEST_SUITE_P(Target, Doubtful,
     ::testing::Values("noise\r\n\r\n", "ICY 200 OK\r\n\r\n", "HTTP/1.1 503 X\r\nno colon here\r\n\r\n",
@@ -97,9 +97,9 @@
     start_with_one_slot();
     Client client = node.client();
     expect_delivered(client, id);
-    tell(agent_request("/v1/servers"), list(1, true, {member("s-1", target.address(), 7)}));
-    tell(agent_request("/v1/servers?from=1"),
-        list(2, false,
+    respond_json(agent_request("/v1/servers"), target_list(1, true, {member("s-1", target.address(), 7)}));
+    respond_json(agent_request("/v1/servers?from=1"),
+        target_list(2, false,
             {member("s-1", target.address(), 7, "terminated"), member("s-2", target.address(), 7)}));
     const Exchange watch = agent_request("/v1/servers?from=2");
     expect_delivered(client, "00000000000000aa");
@@ -112,14 +112,14 @@
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id, "unsafe"), "+OK");
     const Exchange call = target.next();
-    tell(agent_request("/v1/servers"), list(1, true, {member("s-2", target.address(), 7)}));
+    respond_json(agent_request("/v1/servers"), target_list(1, true, {member("s-2", target.address(), 7)}));
     const Exchange watch = agent_request("/v1/servers?from=1");
     for (int i = 10; i < 14; ++i) {
         expect_delivered(client, "00000000000000" + std::to_string(i));
         std::this_thread::sleep_for(400ms);  // what nothing names is forgotten meanwhile
     }
     call.answer(200);
-    EXPECT_TRUE(no_notice_within(500ms));
+    EXPECT_TRUE(no_report_within(500ms));
     EXPECT_EQ(client.ask({"PING"}), "+PONG");
 }
 
@@ -172,14 +172,14 @@
     EXPECT_EQ(outcome_of(1), Outcome::NotSent);
     open = true;
     start(2);
-    while (target.none_within(10ms)) io.poll();
+    while (target.no_request_within(10ms)) io.poll();
     target.next().answer(200);
     EXPECT_EQ(outcome_of(2), Outcome::Served);
     open = false;
     start(3);
     EXPECT_EQ(outcome_of(3), Outcome::NotSent);
     io.run_for(50ms);
-    EXPECT_TRUE(target.none_within(50ms));  // not a byte of the two
+    EXPECT_TRUE(target.no_request_within(50ms));  // not a byte of the two
 }
 
 }  // namespace
--- a/tests/watch_program_test.cpp
+++ b/tests/watch_program_test.cpp
@@ -26,7 +26,7 @@
         for (std::size_t i = 0; i < kMembers; ++i) {
             Json config = make_config("127.0.0.1:1", "127.0.0.1:1");
             config.erase("discovery");
-            config["known"] = list(1, true, {member("s-1", "127.0.0.1:9", 7)});
+            config["known"] = target_list(1, true, {member("s-1", "127.0.0.1:9", 7)});
             config["settings"]["n_instances"] = kMembers, config["settings"]["me"] = i;
             config["settings"]["limits"]["peers"] = true;
             config["peer_listen"] = peers[i], config["peers"] = peers;
