--- a/src/core/clocks.hpp
+++ b/src/core/clocks.hpp
@@ -1,4 +1,4 @@
-/// The clocks that the core goes by.
+/// The clocks of the core, read from the system.
 #pragma once
 
 #include <chrono>
@@ -11,11 +11,12 @@
 
 namespace lockgw {
 
-/// The module's: it only advances, and all processes of a machine share it.
+/// The steady clock, on which all times of the decision module are. It only advances, and all processes of a
+/// machine share it.
 inline cometspoke::Time steady_now() {
     return std::chrono::duration_cast<cometspoke::Time>(std::chrono::steady_clock::now().time_since_epoch());
 }
-/// All that goes on while the process is down.
+/// Now, on all clocks that continue while the process is down, with the id of the machine's boot.
 inline Moment moment_now() {
     static const std::uint64_t boot = [] {
         std::string id;
@@ -25,9 +26,10 @@
     const auto wall = std::chrono::system_clock::now().time_since_epoch();
     return {steady_now(), std::chrono::duration_cast<std::chrono::microseconds>(wall), boot};
 }
+/// Unix time in milliseconds.
 inline std::int64_t unix_ms() {
-    const auto since = std::chrono::system_clock::now().time_since_epoch();
-    return std::chrono::duration_cast<std::chrono::milliseconds>(since).count();
+    const auto since_epoch = std::chrono::system_clock::now().time_since_epoch();
+    return std::chrono::duration_cast<std::chrono::milliseconds>(since_epoch).count();
 }
 
 }  // namespace lockgw
--- a/src/core/delivery.hpp
+++ b/src/core/delivery.hpp
@@ -1,7 +1,8 @@
-/// What a protocol for targets is to the core: it takes a call, and gives one Outcome for it.
+/// The interface between the core and a protocol for targets: the delivery makes a call and returns one
+/// Outcome for it.
 ///
-/// It maps what happened to an Outcome and repeats nothing by itself. A second protocol is another folder
-/// under src/deliveries. Threads: the loop's.
+/// It maps what happened to an Outcome and never retries by itself. A further protocol goes into its own
+/// folder under src/deliveries. Not thread-safe: all calls are on the loop's thread.
 #pragma once
 
 #include <functional>
@@ -15,6 +16,7 @@
 using cometspoke::EndpointId;
 using cometspoke::MessageId;
 
+/// One attempt to deliver a message.
 struct Call {
     MessageId message = 0;
     EndpointId endpoint = 0;
@@ -22,38 +24,42 @@
     std::int64_t destination = 0;
     std::string key, body;
     cometspoke::Time time_out{0};
-    /// Of the steady clock. A call of which not all is written by then ends, and the target must not take it.
+    /// On the steady clock. A call that is not fully written by then ends, in such a way that the target does
+    /// not take it.
     cometspoke::Time begin_by{cometspoke::Time::max()};
 };
 
+/// A protocol for targets.
 class Delivery {
 public:
     using OutcomeCallback = std::function<void(cometspoke::OutcomeEvent)>;
-    /// The send gate: whether the process at this address may still have the call. Asked once a call, right
-    /// before its first byte is written; where it says no the outcome is NotSent, proven never to have run.
+    /// Whether the call may still be sent to the process at this address. Asked once per call, right before
+    /// its first byte is written. If it returns false the outcome is NotSent: the call has certainly not run.
     using SendGate = std::function<bool(const Call&, const Tcp::endpoint&)>;
 
     virtual ~Delivery() = default;
 
+    /// New connections to the endpoint go to this address. Connections to a previous one get no new calls.
     virtual void set_address(EndpointId endpoint, const Tcp::endpoint& address) = 0;
-    /// Nothing new goes there; calls that are out are waited for.
+    /// The endpoint is no longer listed: nothing new is sent to it. Calls in progress are completed.
     virtual void forget(EndpointId endpoint) = 0;
-    /// It may have nothing new for now: idle connections are closed, and calls whose connection is still
-    /// being made end as NotSent. Calls that are out are waited for.
+    /// The endpoint gets no new calls for now: its idle connections are closed, and calls whose connection is
+    /// still being established end as NotSent. Calls in progress are completed.
     virtual void stop_new_calls(EndpointId endpoint) = 0;
-    /// Its outcome comes by OutcomeCallback, never from within this call.
+    /// Starts a call. Its outcome is passed to the OutcomeCallback, never from within this function.
     virtual void start(Call call) = 0;
-    /// Its outcome comes at once.
+    /// Cancels a call in progress. Its outcome is passed to the OutcomeCallback at once.
     virtual void cancel(MessageId message, std::uint32_t attempt) = 0;
+    /// Closes the idle connections to the endpoint.
     virtual void close_idle(EndpointId endpoint) = 0;
-    /// One that carries nothing new, for its descriptor; false where there is none.
+    /// Closes one connection that no unfinished call needs, to free its descriptor. False if there is none.
     virtual bool close_one_idle() = 0;
-    /// Calls that are out.
+    /// The number of calls in progress.
     virtual std::size_t calls() const = 0;
 };
 
-/// Makes a delivery that may hold so many descriptors.
+/// Creates a delivery that may hold at most `max_connections` descriptors.
 using DeliveryFactory = std::function<std::unique_ptr<Delivery>(asio::io_context&, const Config&,
-    std::size_t most_connections, Delivery::SendGate, Delivery::OutcomeCallback)>;
+    std::size_t max_connections, Delivery::SendGate, Delivery::OutcomeCallback)>;
 
 }  // namespace lockgw
--- a/src/core/descriptor_budget.cpp
+++ b/src/core/descriptor_budget.cpp
@@ -6,9 +6,9 @@
 namespace lockgw {
 namespace {
 
-constexpr std::size_t kSuccessorDescriptors = 24;  // of a process that is about to take over
-constexpr std::size_t kConsoleDescriptors = 20;    // of the console, and of an order being written
-constexpr std::size_t kOtherDescriptors = 32;      // of the process beside clients and targets
+constexpr std::size_t kSuccessorDescriptors = 24;  // for a process that is about to take over
+constexpr std::size_t kConsoleDescriptors = 20;    // for the console, and for storing an order
+constexpr std::size_t kOtherDescriptors = 32;      // for everything but clients and targets
 
 std::size_t other_descriptors(const Config& config) {
     return kOtherDescriptors + (config.console ? std::min(kConsoleDescriptors, config.sockets / 8) : 0) +
--- a/src/core/forwarder.cpp
+++ b/src/core/forwarder.cpp
@@ -21,20 +21,21 @@
 
 namespace {
 
-constexpr auto kDrainCheck = 100ms;
-// From the order to end, which SIGKILL follows after 3.7 s: when nothing more is read from clients, when the
-// process ends, and when it ends although an answer to a client is still to be written.
-constexpr auto kReadFor = 3300ms, kDrainFor = 3400ms, kDrainAtMost = 3600ms;
-constexpr auto kAnswersCheck = 10ms;
-// A client whose connection ended before it had read its answer hands the same message in once more, under
-// the same id: it waits 400 ms for the answer, and connects anew.
-constexpr Time kRepeatedWithin = 2s;
-constexpr std::size_t kMostEnded = 16'384;
-constexpr auto kRoomWait = 1000ms;  // when there is no room, some is likely to be free so much later
-
-/// Read once: it is of no use to a later process. Its list stands in for the one in the configuration.
-std::optional<handover::Known> known_before(Config& config) {
-    const auto path = config.state / kKnowledge;
+constexpr auto kHandOverMargin = 100ms;  // after the last client has been handed over
+// Shutdown, counted from the order to end (SIGKILL follows 3.7 s after it): when reading from clients stops,
+// when the process ends, and when it ends even if a reply to a client is still to be written.
+constexpr auto kStopReadingAfter = 3300ms, kStopAfter = 3400ms, kStopAtLatest = 3600ms;
+constexpr auto kReplyPollInterval = 10ms;
+// A client whose connection ended before it had read the reply submits the same message again under the same
+// id: it waits 400 ms for the reply, and reconnects.
+constexpr Time kRepeatWindow = 2s;
+constexpr std::size_t kMaxRecentlyEnded = 16'384;
+constexpr auto kRetryAfterFull = 1000ms;  // retry-after when the journal or the held messages are full
+
+/// Reads the hand-over state of the previous process and deletes its file: it is of no use to a later
+/// process. The target list in it replaces the one of the configuration. None if there is no valid state.
+std::optional<handover::Known> read_hand_over_state(Config& config) {
+    const auto path = config.state / kHandOverStateFile;
     std::ifstream stream(path, std::ios::binary);
     if (!stream) return std::nullopt;
     const std::string bytes{std::istreambuf_iterator<char>(stream), {}};
@@ -54,8 +55,8 @@
 Forwarder::Forwarder(asio::io_context& io, Config config, const Protocols& protocols, routes::Table routes)
     : io_(io),
       config_(limit_slots_to_descriptors(std::move(config))),
-      tenants_(config_.names.tenants),
-      known_(known_before(config_)),
+      tenant_numbers_(config_.names.tenants),
+      previous_process_(read_hand_over_state(config_)),
       journal_(config_.state,
           config_.disk_bytes - orders_room(config_.disk_bytes) - snapshot_room(config_.disk_bytes),
           config_.settings.most_held),
@@ -66,77 +67,80 @@
       planner_(standing_of(config_), config_.spread),
       delivery_(protocols.delivery(
           io, config_, max_target_connections(config_),
-          [this](const Call& call, const Tcp::endpoint& address) { return may_have(call, address); },
-          [this](const OutcomeEvent& event) { outcome(event); })),
+          [this](const Call& call, const Tcp::endpoint& address) { return may_send(call, address); },
+          [this](const OutcomeEvent& event) { handle_outcome(event); })),
       discovery_(
           io,
           {config_.discovery, config_.known, cometspoke::settings::names_in(config_.names.zones),
               cometspoke::settings::names_in(config_.names.kinds), config_.settings.n_instances, config_.seed,
               config_.drain_grace, list_bytes_for(config_.memory_bytes)},
-          [this](const View::Update& update) { list(update); },
+          [this](const View::Update& update) { apply_target_list(update); },
           [this](MessageId id) {
-              open_turn();
+              schedule_turn();
               journal_.confirmed(id);
               stop_if_done();
           }),
-      tier_(
-          io, config_, [this](const TierWatch::Standing& standing) { stand(standing); },
+      cluster_(
+          io, config_, [this](const TierWatch::Standing& standing) { apply_cluster_view(standing); },
           [this](const PeerNote& note) { observe(note); }),
       recovery_(
-          io, {config_, sender_, journal_, directory_, tier_},
-          [this](const Event& event) { tell_module(event); }, [this] { open_turn(); }),
-      work_(io, config_, tier_, work_needs()),
-      front_(protocols.frontend(io, config_, max_client_connections(config_), *this)),
+          io, {config_, sender_, journal_, directory_, cluster_},
+          [this](const Event& event) { notify_module(event); }, [this] { schedule_turn(); }),
+      maintenance_(io, config_, cluster_, maintenance_callbacks()),
+      frontend_(protocols.frontend(io, config_, max_client_connections(config_), *this)),
       timer_(io),
-      drain_step_(io),
-      drain_end_(io),
-      orders_step_(io),
-      handover_step_(io),
-      ended_(kRepeatedWithin, kMostEnded) {}
+      clients_handed_over_timer_(io),
+      drain_timer_(io),
+      orders_timer_(io),
+      hand_over_timer_(io),
+      recently_ended_(kRepeatWindow, kMaxRecentlyEnded) {}
 Forwarder::~Forwarder() = default;
 
 void Forwarder::start() {
     planner_.ordered(config_.spread, routes_.weights());
-    tell_routes();
+    observe_routes();
     discovery_.take_known();
-    const bool handed_over = known_.has_value();
-    learn();
-    tier_.start();
-    come_back(handed_over);
-    work_.start();
-    away_ = work_.away();
-    take_up(handed_over);
+    const bool handed_over = previous_process_.has_value();
+    load_hand_over_state();
+    cluster_.start();
+    start_recovery(handed_over);
+    maintenance_.start();
+    out_for_maintenance_ = maintenance_.away();
+    recover_messages(handed_over);
     discovery_.start();
-    if (!orders_.now().in_service() || away_) service();
-    front_->listen();
+    if (!orders_.now().in_service() || out_for_maintenance_) update_in_service();
+    frontend_->listen();
     listening_ = true;
-    if (config_.console) look_at_orders();
+    if (config_.console) poll_orders();
 }
 
-/// One copy of each class's terms for all its messages.
-void Forwarder::share_terms() {
+/// Refreshes the shared copies of the class settings. All messages of a class share one copy.
+void Forwarder::update_class_terms() {
     const auto& classes = config_.settings.classes;
-    terms_.resize(classes.size());
+    class_terms_.resize(classes.size());
     for (std::size_t i = 0; i < classes.size(); ++i)
-        if (!terms_[i] || !(*terms_[i] == classes[i]))
-            terms_[i] = std::make_shared<ClassSettings>(classes[i]);
-}
-
-void Forwarder::list(const View::Update& update) {
-    const TargetList& told = update.told;
-    const auto gone = directory_.listed(told, std::chrono::steady_clock::now());
-    if (told.complete) members_ = {};
-    for (const EndpointId endpoint : gone) {
-        if (const std::string* name = directory_.name_of(endpoint)) note_gone(*name), planner_.erase(*name);
+        if (!class_terms_[i] || !(*class_terms_[i] == classes[i]))
+            class_terms_[i] = std::make_shared<ClassSettings>(classes[i]);
+}
+
+/// Applies an update from discovery to everything that knows targets: the directory of their numbers, the
+/// delivery's addresses, the planner of the subsets, the members for routing, and the module.
+void Forwarder::apply_target_list(const View::Update& update) {
+    const TargetList& list = update.told;
+    const auto removed = directory_.listed(list, std::chrono::steady_clock::now());
+    if (list.complete) members_ = {};
+    for (const EndpointId endpoint : removed) {
+        if (const std::string* name = directory_.name_of(endpoint))
+            remember_removed_target(*name), planner_.erase(*name);
         delivery_->forget(endpoint);
     }
     ListEvent event;
-    event.kind = !told.complete              ? ListKind::Changes
+    event.kind = !list.complete              ? ListKind::Changes
                  : discovery_.view().whole() ? ListKind::Full
                                              : ListKind::Cached;
-    for (const Target& target : told.targets) {
+    for (const Target& target : list.targets) {
         const auto endpoint = directory_.find(target.id);
-        if (!endpoint) continue;  // it went before it was ever listed here
+        if (!endpoint) continue;  // removed before it was ever listed here
         captures_.named(*endpoint, target.id);
         ListEntry entry;
         if (!target.zone.empty()) entry.zone = config_.names.zones.at(target.zone);
@@ -146,97 +150,102 @@
         entry.rate = target.rate;
         entry.known_as = spread::known_as(target.id);
         entry.condition = target.condition;
-        if (entry.condition == Condition::Ready && (orders_.now().out(target.id) || work_.out(target.id)))
-            entry.condition = Condition::Draining;  // by hand, or for work
+        if (entry.condition == Condition::Ready &&
+            (orders_.now().out(target.id) || maintenance_.out(target.id)))
+            entry.condition = Condition::Draining;  // taken out by an operator or for maintenance
         if (entry.condition == Condition::Ready) {
             delivery_->set_address(*endpoint, target.address);
-            const bool worked_on = cold_from_work(target.id);
-            entry.cold = told_cold(target) || worked_on;
+            const bool after_maintenance = take_cold_after_maintenance(target.id);
+            entry.cold = take_cold_after_order(target) || after_maintenance;
         }
         if (entry.condition == Condition::Draining) delivery_->stop_new_calls(*endpoint);
         event.entries.push_back(entry);
         planner_.put(target.id, target.destination, target.rate, entry.condition == Condition::Ready,
-            began(target, entry.cold));
+            slow_start_since(target, entry.cold));
         if (target.condition == Condition::Gone)
             members_.erase(target.id);
         else
             members_.put({target.id, target.destination, target.kind, target.zone, entry.condition});
     }
-    for (const std::string& id : update.restarted)  // connections to the process before it are dead
+    for (const std::string& id : update.restarted)  // connections to its previous process are dead
         if (const auto endpoint = directory_.find(id)) delivery_->close_idle(*endpoint);
     observe(event);
     recovery_.listed();
-    if (!update.more) tell_routes();  // endpoints that they name may have got their numbers
+    if (!update.more) observe_routes();  // endpoints that routes name may now have numbers
 }
 
-/// The send gate: asked right before a call's first byte, on every path. A call may have been chosen before
-/// the news of a drain or a told wait, and its connection may have taken long to come up.
-bool Forwarder::may_have(const Call& call, const Tcp::endpoint& address) const {
+/// The send gate, asked right before the first byte of every call. The call may have been decided before the
+/// news of a drain or of a retry-after arrived, for instance while its connection was being established.
+bool Forwarder::may_send(const Call& call, const Tcp::endpoint& address) const {
     const std::string* name = directory_.name_of(call.endpoint);
     const auto gate = name == nullptr ? View::Gate::Gone
-                      : orders_.now().out(*name) || work_.out(*name)
+                      : orders_.now().out(*name) || maintenance_.out(*name)
                           ? View::Gate::Draining
                           : discovery_.view().gate(*name, address, call.destination);
-    const bool waits = sender_.wait_until(call.endpoint) > steady_now();
-    if (gate == View::Gate::Open && !waits) return true;
+    const bool must_wait = sender_.wait_until(call.endpoint) > steady_now();
+    if (gate == View::Gate::Open && !must_wait) return true;
     log::info("core", "not sent",
         {{"message", cometspoke::settings::id_text(call.message)}, {"target", name == nullptr ? "?" : *name},
             {"it", gate == View::Gate::Open ? "told to wait" : text_of(gate)}});
     return false;
 }
 
-void Forwarder::submit(Message message, Time left, ReplyCallback done) {
+/// Checks the message, informs the module of it and leaves it for the turn, which decides and replies.
+/// Replies at once if the message is rejected or refused, or is known already.
+void Forwarder::submit(Message message, Time left, ReplyCallback on_reply) {
     const MessageId id = message.id;
-    if (const auto twin = newcomers_.find(id); twin != newcomers_.end()) {
-        twin->second.done = [first = std::move(twin->second.done), done = std::move(done)](
-                                const Reply& reply) {
+    if (const auto same = submitted_.find(id); same != submitted_.end()) {
+        same->second.on_reply = [first = std::move(same->second.on_reply), second = std::move(on_reply)](
+                                    const Reply& reply) {
             first(reply);
-            done(reply);
+            second(reply);
         };
         return;
     }
-    // A client that met a closed connection hands the same id in once more: it is held already, or has ended
-    // meanwhile, and to take it on anew would have it run twice.
-    if (journal_.find(id) != nullptr || ended_.contains(id, steady_now())) return done(Reply::accepted());
+    // A client whose connection was closed submits the same id again. The message is held already or has
+    // ended meanwhile; accepting it again would deliver it twice.
+    if (journal_.find(id) != nullptr || recently_ended_.contains(id, steady_now()))
+        return on_reply(Reply::accepted());
     if (!directory_.has(message.destination, std::chrono::steady_clock::now()) && !directory_.blank())
-        return done(
-            discovery_.view().whole() ? Reply::rejected("unknown destination") : Reply::busy(kRoomWait));
-    if (journal_.unended() + newcomers_.size() >= config_.settings.most_held)
-        return done(Reply::busy(kRoomWait));
+        return on_reply(discovery_.view().whole() ? Reply::rejected("unknown destination")
+                                                  : Reply::busy(kRetryAfterFull));
+    if (journal_.unended() + submitted_.size() >= config_.settings.most_held)
+        return on_reply(Reply::busy(kRetryAfterFull));
     const std::string& kind = kind_of(message.destination);
     if (routes_.wrong_kind(message.message_class, message.destination, kind))
-        return done(Reply::rejected("this class does not go to a " + kind));
+        return on_reply(Reply::rejected("this class does not go to a " + kind));
     const RouteId route = route_of(message);
-    if (routes_.refuses(route)) return done(Reply::rejected("refused by " + routes_.rule_of(route)));
-    // by name, for settings may have been taken over since the request was read
-    const auto kind_now = config_.names.classes.find(message.message_class);
-    if (kind_now == config_.names.classes.end())
-        return done(Reply::rejected("unknown class " + message.message_class));
+    if (routes_.refuses(route)) return on_reply(Reply::rejected("refused by " + routes_.rule_of(route)));
+    // looked up by name: the settings may have been reloaded since the request was read
+    const auto message_class = config_.names.classes.find(message.message_class);
+    if (message_class == config_.names.classes.end())
+        return on_reply(Reply::rejected("unknown class " + message.message_class));
     MessageEvent event;
     event.message = id;
     event.route = route;
     event.destination = message.destination;
-    event.message_class = kind_now->second;
-    message.terms = terms_[kind_now->second];
+    event.message_class = message_class->second;
+    message.terms = class_terms_[message_class->second];
     if (!message.tenant.empty()) {
         const auto tenant = config_.names.tenants.find(message.tenant);
-        if (tenant == config_.names.tenants.end()) return done(Reply::rejected("unknown tenant"));
+        if (tenant == config_.names.tenants.end()) return on_reply(Reply::rejected("unknown tenant"));
         event.tenant = tenant->second;
     }
     event.left = left;
     planner_.asked(message.destination, steady_now());
-    newcomers_.emplace(id, Newcomer{std::move(message), std::move(done)});
+    submitted_.emplace(id, SubmittedMessage{std::move(message), std::move(on_reply)});
     observe(event);
 }
 
-void Forwarder::outcome(const OutcomeEvent& event) {
-    open_turn();
+/// The end of a call: records it, and passes it to the recovery, the planner and the module.
+void Forwarder::handle_outcome(const OutcomeEvent& event) {
+    schedule_turn();
     const Entry* entry = journal_.find(event.message);
     if (entry != nullptr && !entry->notice) {
-        if (event.wait > Time(0))  // before anything follows from it
+        if (event.wait > Time(0))  // recorded before anything that depends on it
             recovery_.wait_told(event.endpoint, entry->message.destination, event.wait);
         if (event.terminal)
-            journal_.delivered(event.message), ended_.add(event.message, steady_now()),
+            journal_.delivered(event.message), recently_ended_.add(event.message, steady_now()),
                 recovery_.over(event.message, event.outcome == Outcome::Served);
         else
             journal_.end_attempt(event.message, proves_never_ran(event.outcome));
@@ -249,49 +258,52 @@
     stop_if_done();
 }
 
-/// All that happens in one turn of the loop is told before the one decision on it.
+/// Passes an event to the module and has a turn decide on it. The module gets all events of a turn of the
+/// loop before the one decision on them.
 void Forwarder::observe(const Event& event) {
-    tell_module(event);
-    open_turn();
-}
-/// The one place where the module is told anything.
-void Forwarder::tell_module(const Event& event) {
-    const Time at = steady_now();
-    sender_.observe(event, at);
-    captures_.observed(event, at);
-}
-void Forwarder::open_turn() {
-    if (std::exchange(turn_due_, true)) return;
+    notify_module(event);
+    schedule_turn();
+}
+/// The only place where events are passed to the module; the capture gets them here too.
+void Forwarder::notify_module(const Event& event) {
+    const Time now = steady_now();
+    sender_.observe(event, now);
+    captures_.observed(event, now);
+}
+/// Opens the journal's batch and posts run_turn(), unless a turn is scheduled already.
+void Forwarder::schedule_turn() {
+    if (std::exchange(turn_scheduled_, true)) return;
     journal_.begin_turn();
-    asio::post(io_, [this] { turn(); });
+    asio::post(io_, [this] { run_turn(); });
 }
 
-void Forwarder::turn() {
-    const auto begun = std::chrono::steady_clock::now();
+void Forwarder::run_turn() {
+    const auto started = std::chrono::steady_clock::now();
     decide_and_act();
-    longest_turn_ = std::max(longest_turn_, std::chrono::steady_clock::now() - begun);
+    longest_turn_ = std::max(longest_turn_, std::chrono::steady_clock::now() - started);
 }
-/// First everything that was decided is in the journal, by one write; then it is done.
+/// Everything that was decided is in the journal, by one write, before any of it is carried out.
 void Forwarder::decide_and_act() {
-    turn_due_ = false;
-    take_up_due(steady_now());
-    const Time at = steady_now();  // not before anything that was told
-    share_out(at);
-    const std::vector<Action> actions = sender_.decide(at);
-    captures_.decided(at, actions);
-    auto replies = take_on(actions);
+    turn_scheduled_ = false;
+    resume_released_messages(steady_now());
+    const Time now = steady_now();  // not earlier than the time of any event
+    update_subsets(now);
+    const std::vector<Action> actions = sender_.decide(now);
+    captures_.decided(now, actions);
+    auto replies = accept_submitted(actions);
     std::vector<Recorded> recorded(actions.size());
     for (std::size_t i = 0; i < actions.size(); ++i) guarded([&] { recorded[i] = record(actions[i]); });
-    if (!journal_.keep_turn()) take_back(replies, actions, recorded);
-    answer_newcomers(replies);
+    if (!journal_.keep_turn()) undo_turn(replies, actions, recorded);
+    reply_to_submitters(replies);
     for (std::size_t i = 0; i < actions.size(); ++i)
-        guarded([&] { std::visit([&](const auto& one) { carry_out(one, recorded[i]); }, actions[i]); });
+        guarded([&] { std::visit([&](const auto& action) { carry_out(action, recorded[i]); }, actions[i]); });
 }
 
-/// What each newcomer hears, if the turn is kept.
-Forwarder::Replies Forwarder::take_on(const std::vector<Action>& actions) {
+/// Records the submitted messages that the module neither refused nor failed. Returns the replies to all of
+/// them, which hold only if the turn's write succeeds.
+Forwarder::Replies Forwarder::accept_submitted(const std::vector<Action>& actions) {
     Replies replies;
-    if (newcomers_.empty()) return replies;
+    if (submitted_.empty()) return replies;
     for (const Action& action : actions) {
         if (const auto* refuse = std::get_if<Refuse>(&action))
             replies.emplace(
@@ -299,21 +311,22 @@
         else if (const auto* fail = std::get_if<Fail>(&action))
             replies.emplace(fail->message, Reply::rejected("out of time"));
     }
-    for (const auto& [id, newcomer] : newcomers_) {
+    for (const auto& [id, submitted] : submitted_) {
         if (replies.contains(id)) continue;
-        const bool taken = journal_.take_on(newcomer.message);
-        replies.emplace(id, taken ? Reply::accepted() : Reply::busy(kRoomWait));
-        if (!taken) tell_module(AbandonedEvent{id});
+        const bool accepted = journal_.take_on(submitted.message);
+        replies.emplace(id, accepted ? Reply::accepted() : Reply::busy(kRetryAfterFull));
+        if (!accepted) notify_module(AbandonedEvent{id});
     }
     return replies;
 }
 
+/// Records the begin of an attempt or the end of a message; other actions leave nothing in the journal.
 Forwarder::Recorded Forwarder::record(const Action& action) {
     if (const auto* send = std::get_if<Send>(&action)) return record(*send);
     if (const auto* refuse = std::get_if<Refuse>(&action))
-        return record_end(
+        return record_final_status(
             refuse->message, {true, std::chrono::duration_cast<milliseconds>(refuse->retry_after)});
-    if (const auto* fail = std::get_if<Fail>(&action)) return record_end(fail->message, {});
+    if (const auto* fail = std::get_if<Fail>(&action)) return record_final_status(fail->message, {});
     return {};
 }
 Forwarder::Recorded Forwarder::record(const Send& send) {
@@ -323,46 +336,50 @@
     const std::uint32_t attempt = entry->attempts;
     return {target != nullptr && journal_.begin_attempt(send.message, *target, moment_now()), attempt};
 }
-Forwarder::Recorded Forwarder::record_end(MessageId id, const Notice& notice) {
-    if (journal_.find(id) == nullptr) return {};  // its client has the answer itself
-    journal_.end(id, notice);
-    ended_.add(id, steady_now());
+/// Records how a message ended that was accepted in an earlier turn.
+Forwarder::Recorded Forwarder::record_final_status(MessageId id, const Notice& status) {
+    if (journal_.find(id) == nullptr) return {};  // submitted in this turn: the reply is the final status
+    journal_.end(id, status);
+    recently_ended_.add(id, steady_now());
     recovery_.over(id, false);
     return {true, 0};
 }
 
-/// The disk did not take the turn: nobody was taken on but those that a compaction within it has kept, and no
-/// attempt begins.
-void Forwarder::take_back(
+/// The turn could not be written. No attempt begins, and the submitted messages are refused, except those
+/// that a compaction of the journal within this turn has already written.
+void Forwarder::undo_turn(
     Replies& replies, const std::vector<Action>& actions, std::vector<Recorded>& recorded) {
     for (std::size_t i = 0; i < actions.size(); ++i)
-        if (const auto* send = std::get_if<Send>(&actions[i]); send && recorded[i].kept) {
-            recorded[i].kept = false;
+        if (const auto* send = std::get_if<Send>(&actions[i]); send && recorded[i].written) {
+            recorded[i].written = false;
             journal_.end_attempt(send->message, true);
         }
     for (auto& [id, reply] : replies) {
         if (reply.kind != Reply::Kind::Accepted || !journal_.withdraw(id)) continue;
-        reply = Reply::busy(kRoomWait);
-        tell_module(AbandonedEvent{id});
+        reply = Reply::busy(kRetryAfterFull);
+        notify_module(AbandonedEvent{id});
     }
 }
 
-/// A fault in one action must not take the others of its turn with it, the timer least of all.
+/// Runs `step` and logs its exceptions: a fault in one action must not keep the others of the turn, and above
+/// all the timer, from being carried out.
 template <class Step>
 void Forwarder::guarded(Step step) try {
     step();
 } catch (const std::exception& fault) {
-    log::error("core", "a step failed", {{"why", fault.what()}});
+    log::error("core", "action failed", {{"why", fault.what()}});
 }
 
-/// Before any call goes out: a message is delivered only if its client has heard that it was taken on.
-void Forwarder::answer_newcomers(const Replies& replies) {
-    for (const auto& [id, newcomer] : std::exchange(newcomers_, {}))
-        guarded([&] { newcomer.done(replies.at(id)); });
+/// Replies to the clients before any call goes out: a message is delivered only after its client was told
+/// that it is accepted.
+void Forwarder::reply_to_submitters(const Replies& replies) {
+    for (const auto& [id, submitted] : std::exchange(submitted_, {}))
+        guarded([&] { submitted.on_reply(replies.at(id)); });
 }
 
+/// Starts the call. An attempt that was not recorded must not begin: the module hears that it was not sent.
 void Forwarder::carry_out(const Send& send, const Recorded& recorded) {
-    if (!recorded.kept) {
+    if (!recorded.written) {
         OutcomeEvent event;
         event.message = send.message;
         event.endpoint = send.endpoint;
@@ -378,12 +395,12 @@
     delivery_->cancel(cancel.message, cancel.attempt);
 }
 void Forwarder::carry_out(const Refuse& refuse, const Recorded& recorded) {
-    if (recorded.kept)
+    if (recorded.written)
         discovery_.report(
             refuse.message, {true, std::chrono::duration_cast<milliseconds>(refuse.retry_after)});
 }
 void Forwarder::carry_out(const Fail& fail, const Recorded& recorded) {
-    if (recorded.kept) discovery_.report(fail.message, {});
+    if (recorded.written) discovery_.report(fail.message, {});
 }
 void Forwarder::carry_out(const SetTimer& timer, const Recorded&) {
     timer_.expires_after(timer.delay);
@@ -393,26 +410,26 @@
 }
 void Forwarder::carry_out(const CloseIdle& close, const Recorded&) { delivery_->close_idle(close.endpoint); }
 void Forwarder::carry_out(const Forget& forget, const Recorded&) { directory_.forget(forget.endpoint); }
-void Forwarder::carry_out(const TellPeers& tell, const Recorded&) { tier_.tell(tell); }
+void Forwarder::carry_out(const TellPeers& message, const Recorded&) { cluster_.tell(message); }
 void Forwarder::carry_out(const Log& line, const Recorded&) { log::info("module", line.text); }
 
-/// The module knows endpoints by their numbers.
-void Forwarder::tell_routes() {
+/// Sends the module the endpoints that each route allows, by the numbers under which the module knows them.
+void Forwarder::observe_routes() {
     if (routes_.size() == 0) return;
     RoutesEvent event;
     for (RouteId route = 1; route <= routes_.size(); ++route) {
-        auto& only = event.only.emplace_back();
+        auto& allowed = event.only.emplace_back();
         for (const std::string& id : routes_.only(route))
-            if (const auto endpoint = directory_.find(id)) only.push_back(*endpoint);
+            if (const auto endpoint = directory_.find(id)) allowed.push_back(*endpoint);
     }
     observe(event);
 }
 
-/// Who was taken on goes by the rules that are in force now; where these would refuse it, it was promised all
-/// the same, and goes to any endpoint of its destination.
-void Forwarder::reroute_held() {
+/// Applies the present routing rules to all held messages. A message that these rules would refuse was
+/// accepted already: it may go to any endpoint of its destination.
+void Forwarder::reroute_held_messages() {
     observe(RoutesEvent{});
-    tell_routes();
+    observe_routes();
     for (const auto& [id, entry] : journal_.entries())
         if (!entry.notice)
             observe(RerouteEvent{id, routes_.refuses(route_of(entry.message)) ? 0 : route_of(entry.message)});
@@ -440,67 +457,69 @@
     Json destinations = Json::array();
     for (const auto& [number, members] : members_.all()) {
         Json endpoints = Json::array();
-        for (const auto& one : members)
-            endpoints.push_back(
-                {{"name", routes_.endpoint_name(one.id)}, {"id", one.id}, {"is", text_of(one.condition)}});
+        for (const auto& member : members)
+            endpoints.push_back({{"name", routes_.endpoint_name(member.id)}, {"id", member.id},
+                {"is", text_of(member.condition)}});
         destinations.push_back({{"number", number}, {"name", routes_.name_of(number)},
             {"held", held.contains(number) ? held.at(number) : 0}, {"endpoints", std::move(endpoints)}});
     }
     return {{"name", config_.name}, {"draining", draining_}, {"in_service", orders_.now().in_service()},
-        {"away_for_work", work_.away()}, {"out_by_hand", orders_.now().all_out()},
+        {"away_for_work", maintenance_.away()}, {"out_by_hand", orders_.now().all_out()},
         {"held", journal_.unended()}, {"unconfirmed_ends", journal_.entries().size() - journal_.unended()},
         {"calls_out", delivery_->calls()}, {"slots", config_.settings.slots},
         {"most_held", config_.settings.most_held}, {"longest_turn_ms", longest}, {"routes", routes_.size()},
-        {"capture", captures_.status()}, {"fronts", Json::array({front_->status()})},
+        {"capture", captures_.status()}, {"fronts", Json::array({frontend_->status()})},
         {"destinations", std::move(destinations)}};
 }
 
-void Forwarder::control_capture(const std::string& what, Captures::Told told) {
-    if (what == "start")
-        captures_.start(std::move(told));
-    else if (what == "stop")
-        captures_.stop(std::move(told));
-    else if (what == "keep")
-        captures_.keep(std::move(told));
+void Forwarder::control_capture(const std::string& command, Captures::Told on_done) {
+    if (command == "start")
+        captures_.start(std::move(on_done));
+    else if (command == "stop")
+        captures_.stop(std::move(on_done));
+    else if (command == "keep")
+        captures_.keep(std::move(on_done));
     else
-        return told("start, stop or keep, not \"" + what + '"');
-    open_turn();
-    if (what == "keep")
-        asio::post(io_, [this] { open_turn(); });  // what is open ends with the decision after
+        return on_done("start, stop or keep, not \"" + command + '"');
+    schedule_turn();
+    if (command == "keep")
+        asio::post(io_, [this] { schedule_turn(); });  // the open batch ends with the decision after this one
 }
 
+/// Hands the clients over to the other forwarders, spread over time, and then ends as soon as nothing is left
+/// to do. What is still held when the time is over stays in the journal for the next process.
 void Forwarder::drain() {
     if (std::exchange(draining_, true)) return;
-    tier_.leave(true);
+    cluster_.leave(true);
     recovery_.hurry();
-    open_turn();
-    // What the last of them still hand in has a second to be delivered.
+    schedule_turn();
+    // The end of the hand-over leaves a second to deliver what the last clients submit.
     const admission::HandOver plan(hand_over_limits(config_.door), config_.settings.n_instances - 1);
-    front_->hand_over_clients(plan);
-    drain_step_.expires_after(plan.limits().end + kDrainCheck);
-    drain_step_.async_wait([this](auto) { stop_if_done(); });
-    drained_by_ = std::chrono::steady_clock::now() + kDrainAtMost;
-    drain_end_.expires_after(kReadFor);
-    drain_end_.async_wait([this](auto) { stop_reading(); });
+    frontend_->hand_over_clients(plan);
+    clients_handed_over_timer_.expires_after(plan.limits().end + kHandOverMargin);
+    clients_handed_over_timer_.async_wait([this](auto) { stop_if_done(); });
+    drain_deadline_ = std::chrono::steady_clock::now() + kStopAtLatest;
+    drain_timer_.expires_after(kStopReadingAfter);
+    drain_timer_.async_wait([this](auto) { stop_reading(); });
 }
 
-/// What a client has asked, and this process has read, is answered before it ends.
+/// Requests that this process has read are answered before it ends.
 void Forwarder::stop_reading() {
-    front_->stop_reading();
-    drain_end_.expires_after(kDrainFor - kReadFor);
-    drain_end_.async_wait([this](auto) { stop_when_answered(); });
+    frontend_->stop_reading();
+    drain_timer_.expires_after(kStopAfter - kStopReadingAfter);
+    drain_timer_.async_wait([this](auto) { stop_when_answered(); });
 }
 void Forwarder::stop_when_answered() {
-    const bool owes = front_->has_pending_replies() || !newcomers_.empty();
-    if (!owes || std::chrono::steady_clock::now() >= drained_by_) return stop();
-    drain_end_.expires_after(kAnswersCheck);
-    drain_end_.async_wait([this](auto) { stop_when_answered(); });
+    const bool replies_pending = frontend_->has_pending_replies() || !submitted_.empty();
+    if (!replies_pending || std::chrono::steady_clock::now() >= drain_deadline_) return stop();
+    drain_timer_.expires_after(kReplyPollInterval);
+    drain_timer_.async_wait([this](auto) { stop_when_answered(); });
 }
 
-/// With nothing owed and no client left, there is nothing to wait for.
+/// Ends a drain early, once the journal is empty and no client is connected.
 void Forwarder::stop_if_done() {
-    if (draining_ && drain_step_.expiry() <= std::chrono::steady_clock::now() && front_->empty() &&
-        journal_.entries().empty())
+    if (draining_ && clients_handed_over_timer_.expiry() <= std::chrono::steady_clock::now() &&
+        frontend_->empty() && journal_.entries().empty())
         stop();
 }
 
--- a/src/core/forwarder_handover_orders_reload.cpp
+++ b/src/core/forwarder_handover_orders_reload.cpp
@@ -1,4 +1,4 @@
-/// The forwarder while something changes under it: orders of operators, other settings, another process.
+/// Forwarder: the hand-over to another process, operators' orders, and reloads of the configuration.
 #include <fstream>
 #include <utility>
 
@@ -15,53 +15,59 @@
 
 namespace {
 
-constexpr auto kHandoverLook = 25ms, kHandoverStep = 2ms;  // between looks; once another asks
-constexpr auto kOrdersLook = 50ms;  // for orders that another process of the same folder was given
+constexpr auto kHandOverPollInterval = 25ms, kHandOverStepInterval = 2ms;  // idle; once requested
+constexpr auto kOrdersPollInterval = 50ms;  // for orders given to another process of the same state folder
 
 }  // namespace
 
-// ---- another process takes over ----
+// ---- hand-over to another process ----
 
-void Forwarder::enable_hand_over(std::function<bool()> wanted, std::function<void()> over) {
-    wanted_ = std::move(wanted);
-    over_ = std::move(over);
-    look_at_handover();
+void Forwarder::enable_hand_over(std::function<bool()> requested, std::function<void()> done) {
+    hand_over_requested_ = std::move(requested);
+    hand_over_done_ = std::move(done);
+    step_hand_over();
 }
 
-void Forwarder::look_at_handover() {
+/// Polls whether another process asks to take over, and carries out the next step of the hand-over. The steps
+/// are decided by handover::Yielding.
+void Forwarder::step_hand_over() {
     using Step = handover::Yielding::Step;
-    const bool calm = newcomers_.empty() && !turn_due_;  // everybody has been answered
-    const auto step = yielding_.step(
-        wanted_(), delivery_->calls(), !front_->empty() || !calm, std::chrono::steady_clock::now());
+    const bool all_answered = submitted_.empty() && !turn_scheduled_;
+    const auto step = hand_over_.step(hand_over_requested_(), delivery_->calls(),
+        !frontend_->empty() || !all_answered, std::chrono::steady_clock::now());
     if (step != Step::None)
         log::info("core", "handing over",
             {{"step", text_of(step)}, {"calls_out", delivery_->calls()}, {"held", journal_.unended()}});
     if (step == Step::StopCalls || step == Step::GoOn) {
-        yielding_calls_ = step == Step::StopCalls;
+        paused_for_hand_over_ = step == Step::StopCalls;
         apply_pause();
     }
-    if (step == Step::LetGo) front_->drain();
-    if (step == Step::StopReading) front_->stop_reading();
+    if (step == Step::LetGo) frontend_->drain();
+    if (step == Step::StopReading) frontend_->stop_reading();
     if (step == Step::HandOver) {
         journal_.keep_turn();
-        keep_gone();
-        write_knowledge();
-        return over_();
+        save_removed_targets();
+        write_hand_over_state();
+        return hand_over_done_();
     }
-    const bool busy = yielding_.state() != handover::Yielding::State::Serving;
-    handover_step_.expires_after(busy ? kHandoverStep : kHandoverLook);
-    handover_step_.async_wait([this](auto cancelled) {
-        if (!cancelled) look_at_handover();
+    const bool handing_over = hand_over_.state() != handover::Yielding::State::Serving;
+    hand_over_timer_.expires_after(handing_over ? kHandOverStepInterval : kHandOverPollInterval);
+    hand_over_timer_.async_wait([this](auto cancelled) {
+        if (!cancelled) step_hand_over();
     });
 }
 
-/// Messages are still taken in, and those whose time is up still end.
+/// Tells the module whether new attempts may begin. While they may not, messages are still accepted, and
+/// those that reach their deadline still end.
 void Forwarder::apply_pause() {
     if (std::exchange(config_.settings.paused, attempts_paused()) == attempts_paused()) return;
     observe(SettingsEvent{config_.settings});
 }
 
-void Forwarder::write_knowledge() {
+/// Writes what the next process needs to know of the targets: the list, their numbers and retry-after times,
+/// and the module's memory. A new file replaces the old one, so that it is there whole or not at all.
+/// Failures are ignored: the next process then starts without this knowledge.
+void Forwarder::write_hand_over_state() {
     handover::Known known;
     known.list = discovery_.list();
     directory_.each([&](EndpointId number, const std::string& id) {
@@ -70,7 +76,7 @@
             known.waits.emplace(id, until);
     });
     known.memory = capture::memory_of(sender_);
-    const auto fresh = config_.state / (std::string(kKnowledge) + ".new");
+    const auto fresh = config_.state / (std::string(kHandOverStateFile) + ".new");
     std::error_code failed;
     {
         std::ofstream stream(fresh, std::ios::binary | std::ios::trunc);
@@ -78,18 +84,19 @@
         stream.write(bytes.data(), static_cast<std::streamsize>(bytes.size()));
         if (!stream.flush()) return void(std::filesystem::remove(fresh, failed));
     }
-    std::filesystem::rename(fresh, config_.state / kKnowledge, failed);
+    std::filesystem::rename(fresh, config_.state / kHandOverStateFile, failed);
 }
 
-/// Before any message is taken up.
-void Forwarder::learn() {
-    if (!known_) return;
-    std::map<std::string, EndpointId> to;
-    directory_.each([&](EndpointId number, const std::string& id) { to.emplace(id, number); });
-    const std::size_t learned = handover::learn(sender_, *known_, to, config_.settings);
+/// Passes the hand-over state of the previous process to the module, before any message is resumed.
+void Forwarder::load_hand_over_state() {
+    if (!previous_process_) return;
+    std::map<std::string, EndpointId> numbers;
+    directory_.each([&](EndpointId number, const std::string& id) { numbers.emplace(id, number); });
+    const std::size_t learned = handover::learn(sender_, *previous_process_, numbers, config_.settings);
     log::info("core", "taken over",
-        {{"targets_known", learned}, {"waits", known_->waits.size()}, {"messages", journal_.unended()}});
-    known_.reset();
+        {{"targets_known", learned}, {"waits", previous_process_->waits.size()},
+            {"messages", journal_.unended()}});
+    previous_process_.reset();
 }
 
 std::set<std::string> Forwarder::listed_targets() const {
@@ -100,6 +107,7 @@
 
 // ---- operators' orders ----
 
+/// Answers whether the order is in force: it is stored first, and then applied.
 operations::Answer Forwarder::execute_order(const operations::Order& order) {
     using operations::Answer;
     if (order.kind == operations::Order::Kind::Ready)
@@ -109,74 +117,79 @@
     const operations::Operations before = orders_.now();
     Answer answer;
     const bool kept = orders_.update([&](operations::Operations& state) {
-        for (const std::string& id : gone_) state.gone(id);
+        for (const std::string& id : removed_targets_) state.gone(id);
         answer = state.give(order, listed, unix_ms());
     });
-    if (kept) gone_.clear();
+    if (kept) removed_targets_.clear();
     if (!kept) answer = {Answer::Kind::NotKept, "the order could not be written down"};
-    carry_out(before);
+    apply_order_changes(before);
     log::info("core", "ordered",
         {{"what", text_of(order.kind)}, {"target", order.target}, {"answer", text_of(answer.kind)}});
     return answer;
 }
 
-/// Another process of the same folder may have had an order.
-void Forwarder::look_at_orders() {
+/// Applies orders that were given to another process of the same state folder, and saves the ids of removed
+/// targets.
+void Forwarder::poll_orders() {
     const operations::Operations before = orders_.now();
-    if (orders_.look()) carry_out(before);
-    keep_gone();
-    orders_step_.expires_after(kOrdersLook);
-    orders_step_.async_wait([this](auto cancelled) {
-        if (!cancelled) look_at_orders();
+    if (orders_.look()) apply_order_changes(before);
+    save_removed_targets();
+    orders_timer_.expires_after(kOrdersPollInterval);
+    orders_timer_.async_wait([this](auto cancelled) {
+        if (!cancelled) poll_orders();
     });
 }
 
-void Forwarder::carry_out(const operations::Operations& before) {
+/// Applies the difference between the orders `before` and those in force now: the service state, and targets
+/// taken out or put back.
+void Forwarder::apply_order_changes(const operations::Operations& before) {
     const auto moves = before.moves(orders_.now());
-    if (moves.service) service();
+    if (moves.service) update_in_service();
     View::Update update;
     for (const auto* ids : {&moves.out, &moves.back})
         for (const std::string& id : *ids) {
-            if (ids == &moves.back) told_cold_.erase(id);
+            if (ids == &moves.back) cold_reported_.erase(id);
             if (const auto target = discovery_.view().current(id)) update.told.targets.push_back(*target);
         }
-    if (!update.told.targets.empty()) list(update);
+    if (!update.told.targets.empty()) apply_target_list(update);
 }
 
-/// Put back by hand, and not told to the module since.
-bool Forwarder::told_cold(const Target& target) {
-    return orders_.now().cold(target.id, unix_ms()) && told_cold_.insert(target.id).second;
+/// Whether an operator has put the target back recently and the module has not been told yet that it is cold.
+/// True only once for each time that it is put back.
+bool Forwarder::take_cold_after_order(const Target& target) {
+    return orders_.now().cold(target.id, unix_ms()) && cold_reported_.insert(target.id).second;
 }
 
-/// An operator may still name it: kept a little later, for a list may say many at once.
-void Forwarder::note_gone(const std::string& id) {
+/// Remembers the id of a target that is no longer listed, because operators may still give orders about it.
+/// The ids are saved later in one go, for a list may remove many targets at once.
+void Forwarder::remember_removed_target(const std::string& id) {
     if (!config_.console || orders_.now().known(id)) return;
-    if (gone_.size() < operations::kGoneMost) gone_.push_back(id);
+    if (removed_targets_.size() < operations::kGoneMost) removed_targets_.push_back(id);
 }
-void Forwarder::keep_gone() {
-    if (gone_.empty()) return;
+void Forwarder::save_removed_targets() {
+    if (removed_targets_.empty()) return;
     const bool kept = orders_.update([this](operations::Operations& state) {
-        for (const std::string& id : gone_) state.gone(id);
+        for (const std::string& id : removed_targets_) state.gone(id);
     });
-    if (kept) gone_.clear();
+    if (kept) removed_targets_.clear();
 }
 
-// ---- other settings ----
+// ---- reload of the configuration ----
 
 void Forwarder::reload(const Config& fresh, routes::Table routes) {
     using namespace cometspoke::settings;
     const Config bounded = limit_slots_to_descriptors(fresh);
-    InForce next = taken_over({config_.names, config_.settings, tenants_},
+    InForce next = taken_over({config_.names, config_.settings, tenant_numbers_},
         {bounded.names, bounded.settings, {}}, [this](std::size_t number) { return class_in_use(number); });
-    const Sender checked(next.settings, fresh.seed);  // it knows best which settings make no sense
+    const Sender checked(next.settings, fresh.seed);  // throws if the settings are invalid
     config_.names = std::move(next.names);
     config_.settings = std::move(next.settings);
-    config_.settings.paused = attempts_paused();  // no file says so: it is this process's state
-    tenants_ = std::move(next.numbered_tenants);
+    config_.settings.paused = attempts_paused();  // the state of this process, in no file
+    tenant_numbers_ = std::move(next.numbered_tenants);
     config_.connect_timeout = fresh.connect_timeout;
     config_.reports = fresh.reports;
-    if (standing_) config_.settings.n_instances = standing_->parts;
-    share_terms();
+    if (cluster_view_) config_.settings.n_instances = cluster_view_->parts;
+    update_class_terms();
     observe(SettingsEvent{config_.settings});
     discovery_.names(cometspoke::settings::names_in(config_.names.zones),
         cometspoke::settings::names_in(config_.names.kinds));
@@ -186,7 +199,7 @@
     routes_ = std::move(routes);
     config_.spread = fresh.spread;
     planner_.ordered(config_.spread, routes_.weights());
-    reroute_held();
+    reroute_held_messages();
 }
 
 }  // namespace lockgw
--- a/src/core/forwarder_maintenance.cpp
+++ b/src/core/forwarder_maintenance.cpp
@@ -1,4 +1,4 @@
-/// The forwarder while machines are taken out in order: itself, or hosts of targets.
+/// Forwarder: planned maintenance, which takes forwarders and hosts of targets out of service in turn.
 #include <algorithm>
 
 #include "core/clocks.hpp"
@@ -10,76 +10,80 @@
 
 using namespace cometspoke;
 
-Work::Needs Forwarder::work_needs() {
-    return {
-        [this](work::Sight& sight) { look_for_work(sight); }, [this] { heed_work(); }, [this] { drain(); }};
+Work::Needs Forwarder::maintenance_callbacks() {
+    return {[this](work::Sight& observed) { observe_for_maintenance(observed); },
+        [this] { apply_maintenance(); }, [this] { drain(); }};
 }
 
-void Forwarder::look_for_work(work::Sight& sight) {
-    sight.serves = listening_ && !draining_ && orders_.now().in_service();
-    sight.drained =
-        front_->empty() && journal_.unended() == 0 && newcomers_.empty() && delivery_->calls() == 0;
-    sight.warm = recovery_.full();
-    const auto& plan = work_.plan();
+/// Fills in what the maintenance has to know of this process and of the targets.
+void Forwarder::observe_for_maintenance(work::Sight& observed) {
+    observed.serves = listening_ && !draining_ && orders_.now().in_service();
+    observed.drained =
+        frontend_->empty() && journal_.unended() == 0 && submitted_.empty() && delivery_->calls() == 0;
+    observed.warm = recovery_.full();
+    const auto& plan = maintenance_.plan();
     if (!plan) return;
-    // hosts of which no target serves, without anybody's word
+    // hosts with no serving target although the plan has not taken them out
     std::map<std::uint64_t, const routes::Member*> by_name;
     for (const auto& [destination, members] : members_.all())
-        for (const auto& one : members) by_name.emplace(spread::known_as(one.id), &one);
+        for (const auto& member : members) by_name.emplace(spread::known_as(member.id), &member);
     const auto serves = [by_name](std::uint64_t name) {
-        const auto at = by_name.find(name);
-        return at != by_name.end() && at->second->condition == Condition::Ready;
+        const auto found = by_name.find(name);
+        return found != by_name.end() && found->second->condition == Condition::Ready;
     };
-    for (const work::Place& one : plan->machines)
-        if (work::is_host(one.machine) && std::none_of(one.targets.begin(), one.targets.end(),
-                                              [&](auto name) { return serves(name) || work_.out(name); }))
-            sight.lost.push_back(one.machine);
-    sight.left = [this, &plan](work::Machine machine) { return left_without(*plan, machine); };
-    sight.let_go = [this, &plan](work::Machine machine) {
-        const auto at = plan->index_of(machine);
-        if (!at) return false;
+    for (const work::Place& place : plan->machines)
+        if (work::is_host(place.machine) &&
+            std::none_of(place.targets.begin(), place.targets.end(),
+                [&](auto name) { return serves(name) || maintenance_.out(name); }))
+            observed.lost.push_back(place.machine);
+    observed.left = [this, &plan](work::Machine machine) { return capacity_without(*plan, machine); };
+    observed.let_go = [this, &plan](work::Machine machine) {
+        const auto index = plan->index_of(machine);
+        if (!index) return false;
         bool free = true;
         directory_.each([&](EndpointId number, const std::string& id) {
-            const auto& names = plan->machines[*at].targets;
+            const auto& names = plan->machines[*index].targets;
             if (std::find(names.begin(), names.end(), spread::known_as(id)) == names.end()) return;
-            const auto known = sender_.state().endpoints_.find(number);
-            free = free && work_.out(spread::known_as(id)) &&
-                   (known == sender_.state().endpoints_.end() || known->second.in_flight == 0);
+            const auto endpoint = sender_.state().endpoints_.find(number);
+            free = free && maintenance_.out(spread::known_as(id)) &&
+                   (endpoint == sender_.state().endpoints_.end() || endpoint->second.in_flight == 0);
         });
         return free;
     };
 }
 
-/// In percent, of the destination that would keep least; nothing where less would stay than it is used now,
-/// by what its targets told.
-unsigned Forwarder::left_without(const work::Plan& plan, work::Machine machine) {
-    const auto at = plan.index_of(machine);
-    if (!at) return 0;
+/// The capacity that stays if the machine is taken out, in percent, of the destination that would keep least.
+/// 0 if some destination would keep less than is used of it now, as its targets report.
+unsigned Forwarder::capacity_without(const work::Plan& plan, work::Machine machine) {
+    const auto index = plan.index_of(machine);
+    if (!index) return 0;
     unsigned least = 100;
     for (const auto& [destination, members] : members_.all()) {
-        double whole = 0, stays = 0;
-        bool touched = false;
-        for (const auto& one : members) {
-            const std::uint64_t name = spread::known_as(one.id);
-            const auto target = discovery_.view().current(one.id);
+        double total = 0, remaining = 0;
+        bool affected = false;
+        for (const auto& member : members) {
+            const std::uint64_t name = spread::known_as(member.id);
+            const auto target = discovery_.view().current(member.id);
             const double size = target && target->rate > 0 ? target->rate : 1;
-            const auto& gone = plan.machines[*at].targets;
-            const bool goes = std::find(gone.begin(), gone.end(), name) != gone.end();
-            touched = touched || goes;
-            whole += size;
-            if (!goes && one.condition == Condition::Ready && !work_.out(name)) stays += size;
+            const auto& removed = plan.machines[*index].targets;
+            const bool leaves = std::find(removed.begin(), removed.end(), name) != removed.end();
+            affected = affected || leaves;
+            total += size;
+            if (!leaves && member.condition == Condition::Ready && !maintenance_.out(name)) remaining += size;
         }
-        if (!touched || whole <= 0) continue;
-        const double used = used_part(destination);
-        least = std::min(least, stays < used * whole ? 0u : static_cast<unsigned>(100 * stays / whole));
+        if (!affected || total <= 0) continue;
+        const double used = used_share(destination);
+        least =
+            std::min(least, remaining < used * total ? 0u : static_cast<unsigned>(100 * remaining / total));
     }
     return least;
 }
 
-/// Of the limit of a destination, as last told; 0 where none is known.
-double Forwarder::used_part(DestinationId destination) {
-    const auto home = sender_.state().destinations_.find(destination);
-    if (home == sender_.state().destinations_.end()) return 0;
+/// The share of a destination's limit that is in use, as its targets reported within the last 10 s; 0 if none
+/// is known.
+double Forwarder::used_share(DestinationId destination) {
+    const auto found = sender_.state().destinations_.find(destination);
+    if (found == sender_.state().destinations_.end()) return 0;
     double used = 0;
     for (const auto& report : sender_.state().limits_.all())
         if (report.destination == destination && steady_now() - report.observed_at < std::chrono::seconds(10))
@@ -87,35 +91,39 @@
     return std::clamp(used, 0.0, 1.0);
 }
 
-void Forwarder::service() {
-    const bool in = orders_.now().in_service() && !work_.away();
-    front_->set_in_service(in);
-    tier_.leave(!in || draining_);
+/// The forwarder is in service unless an operator or maintenance has taken it out. Tells the clients'
+/// frontend and the other forwarders.
+void Forwarder::update_in_service() {
+    const bool in_service = orders_.now().in_service() && !maintenance_.away();
+    frontend_->set_in_service(in_service);
+    cluster_.leave(!in_service || draining_);
 }
 
-/// What is out by the plan has changed: itself, or targets.
-void Forwarder::heed_work() {
-    if (std::exchange(away_, work_.away()) != work_.away() && listening_) service();
-    const auto& out = work_.all_out();
-    if (out == work_out_) return;
-    const std::set<std::uint64_t> before = std::exchange(work_out_, out);
+/// Applies changes of what the plan takes out of service: this forwarder, or targets.
+void Forwarder::apply_maintenance() {
+    if (std::exchange(out_for_maintenance_, maintenance_.away()) != maintenance_.away() && listening_)
+        update_in_service();
+    const auto& out = maintenance_.all_out();
+    if (out == targets_in_maintenance_) return;
+    const std::set<std::uint64_t> before = std::exchange(targets_in_maintenance_, out);
     View::Update update;
     directory_.each([&](EndpointId, const std::string& id) {
         const std::uint64_t name = spread::known_as(id);
-        const bool was = before.contains(name), is = out.contains(name);
-        if (was == is) return;
-        if (was) back_from_work_[id] = steady_now();
+        const bool was_out = before.contains(name), is_out = out.contains(name);
+        if (was_out == is_out) return;
+        if (was_out) maintenance_ended_[id] = steady_now();
         if (const auto target = discovery_.view().current(id)) update.told.targets.push_back(*target);
     });
-    if (!update.told.targets.empty()) list(update);
+    if (!update.told.targets.empty()) apply_target_list(update);
 }
 
-/// Put back after work, and not told to the module as cold since.
-bool Forwarder::cold_from_work(const std::string& id) {
-    const auto back = back_from_work_.find(id);
-    if (back == back_from_work_.end()) return false;
-    const bool cold = steady_now() - back->second < std::chrono::seconds(60);
-    back_from_work_.erase(back);
+/// Whether the target was put back after maintenance within the last 60 s and the module has not been told
+/// yet that it is cold. True only once for each time that it is put back.
+bool Forwarder::take_cold_after_maintenance(const std::string& id) {
+    const auto ended = maintenance_ended_.find(id);
+    if (ended == maintenance_ended_.end()) return false;
+    const bool cold = steady_now() - ended->second < std::chrono::seconds(60);
+    maintenance_ended_.erase(ended);
     return cold;
 }
 
--- a/src/core/forwarder_recovery.cpp
+++ b/src/core/forwarder_recovery.cpp
@@ -1,4 +1,5 @@
-/// The forwarder coming back: under which terms, when and with which doubts it takes up what it owes.
+/// Forwarder: recovery after a restart. Which settings the messages of the journal are held under, when they
+/// are passed to the module, and which of their attempts may have run.
 #include <algorithm>
 #include <utility>
 
@@ -14,148 +15,160 @@
 
 namespace {
 
-/// What is left of a message's time; never more than its class has, whatever has become of the clocks.
+/// The time left until a message's deadline. Never more than the deadline of its class, even if a clock was
+/// set meanwhile.
 Time time_left(const Message& message, const ClassSettings& terms, const Moment& now) {
     return std::min(until(message.deadline, now), terms.deadline);
 }
-/// How long ago an attempt began. Longer than the window of repeats where no clock can tell, for a repeat
-/// after it would take effect twice.
+/// How long ago an attempt began. If no clock can tell, an age just beyond the deduplication window, because
+/// a repeat after the window would take effect twice.
 Time age_of(const BegunAttempt& attempt, const ClassSettings& terms, const Moment& now) {
     return elapsed(attempt.since, now).value_or(terms.window + Time(1));
 }
 
 }  // namespace
 
-/// The number of a class of the terms under which a message of an earlier process was taken on; a new one
-/// where the settings have none like it any more.
-std::optional<std::size_t> Forwarder::class_of(const Message& message) {
+/// The number of the class whose settings equal those under which the message was accepted by an earlier
+/// process. Adds a class if the settings have no such class any more. None if the message was recorded
+/// without its settings and its class no longer exists.
+std::optional<std::size_t> Forwarder::class_number_of(const Message& message) {
     auto& classes = config_.settings.classes;
     const auto named = config_.names.classes.find(message.message_class);
-    if (!message.terms) {  // an older build wrote it
+    if (!message.terms) {  // recorded by an older build
         if (named == config_.names.classes.end()) return std::nullopt;
         return named->second;
     }
     if (named != config_.names.classes.end() && classes[named->second] == *message.terms)
         return named->second;
-    const auto alike = std::find(classes.begin(), classes.end(), *message.terms);
-    if (alike == classes.end()) classes.push_back(*message.terms);
+    const auto equal = std::find(classes.begin(), classes.end(), *message.terms);
+    if (equal == classes.end()) classes.push_back(*message.terms);
     return std::find(classes.begin(), classes.end(), *message.terms) - classes.begin();
 }
+/// Whether a held or submitted message was accepted under the settings of this class.
 bool Forwarder::class_in_use(std::size_t number) const {
     const ClassSettings& terms = config_.settings.classes[number];
-    const auto bears = [&](const Message& one) {
-        if (one.terms) return *one.terms == terms;
-        const auto named = config_.names.classes.find(one.message_class);
+    const auto uses = [&](const Message& message) {
+        if (message.terms) return *message.terms == terms;
+        const auto named = config_.names.classes.find(message.message_class);
         return named != config_.names.classes.end() && named->second == number;
     };
-    for (const auto& [id, newcomer] : newcomers_)
-        if (bears(newcomer.message)) return true;
+    for (const auto& [id, submitted] : submitted_)
+        if (uses(submitted.message)) return true;
     for (const auto& [id, entry] : journal_.entries())
-        if (!entry.notice && bears(entry.message)) return true;
+        if (!entry.notice && uses(entry.message)) return true;
     return false;
 }
-/// What was learned before, and what peers know of it; before any message is taken up.
-void Forwarder::come_back(bool handed_over) {
-    const auto ordered = [this] {
-        std::vector<recovery::Said> said;
+/// Starts the recovery, before any message is resumed: loads the snapshot of what the previous process had
+/// learned, and asks the peers for what they know. Until they have answered, no attempt begins if operators'
+/// orders are lost: a peer may know that a target is out.
+void Forwarder::start_recovery(bool handed_over) {
+    const auto targets_out = [this] {
+        std::vector<recovery::Said> statements;
         for (const std::string& id : orders_.now().all_out())
-            said.push_back({recovery::Said::What::Out, spread::known_as(id), {}});
-        return said;
+            statements.push_back({recovery::Said::What::Out, spread::known_as(id), {}});
+        return statements;
     };
-    recovery_.tells = ordered;
+    recovery_.tells = targets_out;
     recovery_.start(handed_over, !orders_.now().all_out().empty() || !orders_.now().in_service());
-    awaiting_orders_ = recovery_.asking() && recovery_.orders_lost();
+    paused_for_peer_orders_ = recovery_.asking() && recovery_.orders_lost();
     apply_pause();
 }
 
-/// The asking is over: what operators had ordered here, as far as others know, is ordered again.
-void Forwarder::heed_peers() {
-    if (!asked_ && !recovery_.asking()) {
-        asked_ = true;
-        awaiting_orders_ = false;
+/// Once the peers have answered or their time is over, attempts may begin. If this forwarder's orders are
+/// lost, targets that peers know to be out by its operators' orders are taken out again.
+void Forwarder::apply_peer_state() {
+    if (!peer_state_applied_ && !recovery_.asking()) {
+        peer_state_applied_ = true;
+        paused_for_peer_orders_ = false;
         apply_pause();
     }
     if (recovery_.asking() || !recovery_.orders_lost() || recovery_.taken().out.empty()) return;
     std::vector<std::string> out;
     directory_.each([&](EndpointId, const std::string& id) {
         const std::uint64_t name = spread::known_as(id);
-        if (recovery_.taken().out.contains(name) && heeded_.insert(name).second) out.push_back(id);
+        if (recovery_.taken().out.contains(name) && out_by_peers_.insert(name).second) out.push_back(id);
     });
     for (const std::string& id : out) {
         const auto answer = execute_order({operations::Order::Kind::Offline, id});
-        log::warn("return", "out by the word of peers", {{"target", id}, {"kept", answer.yes()}});
+        log::warn(
+            "return", "target taken out as reported by peers", {{"target", id}, {"kept", answer.yes()}});
     }
 }
 
-/// What an earlier process owed is owed still, with what it knew of each attempt, under the same terms.
-void Forwarder::take_up(bool at_once) {
+/// Takes over the messages that an earlier process held, under the same class settings and with what is known
+/// of their attempts. `at_once`: all of them now, as after a hand-over; otherwise the recovery releases them
+/// over time, if pacing is on.
+void Forwarder::recover_messages(bool at_once) {
     const std::size_t classes = config_.settings.classes.size();
     for (const Entry* entry : journal_.in_order())
-        if (!entry->notice) class_of(entry->message);
+        if (!entry->notice) class_number_of(entry->message);
     if (config_.settings.classes.size() > classes) observe(SettingsEvent{config_.settings});
-    share_terms();
+    update_class_terms();
     const Moment now = moment_now();
-    std::vector<recovery::Owed> owed;
+    std::vector<recovery::Owed> backlog;
     for (const Entry* entry : journal_.in_order()) {
         const Message& message = entry->message;
         if (entry->notice) {
             discovery_.report(message.id, *entry->notice);
             continue;
         }
-        const auto kind = class_of(message);
-        if (!kind) {  // the operator took the class away meanwhile, and its terms are not known
-            end(message.id, {});
+        const auto message_class = class_number_of(message);
+        if (!message_class) {  // the class was removed meanwhile, and its settings are not known
+            end_message(message.id, {});
             continue;
         }
-        const ClassSettings& terms = config_.settings.classes[*kind];
-        recovery::Owed one{message.id, message.destination, 0, time_left(message, terms, now), {}, false};
-        const Time born = one.left - terms.deadline;
-        one.worth = one.left <= Time(0)
-                        ? 0
-                        : terms.worth * worth_left(terms, config_.settings.loses_worth, born, Time(0));
-        if (terms.sequential && !message.key.empty()) one.line = std::hash<std::string>()(message.key);
+        const ClassSettings& terms = config_.settings.classes[*message_class];
+        recovery::Owed item{message.id, message.destination, 0, time_left(message, terms, now), {}, false};
+        const Time accepted_at = item.left - terms.deadline;
+        item.worth = item.left <= Time(0) ? 0
+                                          : terms.worth * worth_left(terms, config_.settings.loses_worth,
+                                                              accepted_at, Time(0));
+        if (terms.sequential && !message.key.empty()) item.line = std::hash<std::string>()(message.key);
         const auto& doubt = entry->may_have_run();
-        one.over =
-            one.left <= Time(0) ||
+        item.over =
+            item.left <= Time(0) ||
             (doubt && (terms.effect == Effect::Fragile ||
                           (terms.effect == Effect::Dedup && age_of(*doubt, terms, now) > terms.window)));
-        owed.push_back(one);
+        backlog.push_back(item);
     }
-    if (!at_once && config_.recovery.pace) return recovery_.owe(std::move(owed));
-    for (const auto& one : owed) take_up(*journal_.find(one.id));
+    if (!at_once && config_.recovery.pace) return recovery_.owe(std::move(backlog));
+    for (const auto& item : backlog) resume_message(*journal_.find(item.id));
 }
-void Forwarder::take_up(const Entry& entry) {
+/// Passes a message of an earlier process to the module, with what is known of its attempts.
+void Forwarder::resume_message(const Entry& entry) {
     const Message& message = entry.message;
     const Moment now = moment_now();
-    const auto kind = class_of(message);
-    if (!kind) return end(message.id, {});  // its class was taken away while it waited for its turn
-    const ClassSettings& terms = config_.settings.classes[*kind];
+    const auto message_class = class_number_of(message);
+    if (!message_class) return end_message(message.id, {});  // its class was removed while it waited
+    const ClassSettings& terms = config_.settings.classes[*message_class];
     MessageEvent event;
     event.message = message.id;
     event.destination = message.destination;
-    event.message_class = *kind;
-    if (const auto tenant = tenants_.find(message.tenant); tenant != tenants_.end())
+    event.message_class = *message_class;
+    if (const auto tenant = tenant_numbers_.find(message.tenant); tenant != tenant_numbers_.end())
         event.tenant = tenant->second;
-    // one that cannot be in time gets its final answer now, not when its time is up
+    // a message that cannot be delivered in time gets its final status now, not at its deadline
     event.left = recovery_.hopeless(message.id) ? Time(0) : time_left(message, terms, now);
     event.route = route_of(message);
     event.attempts = entry.attempts;
     if (const auto& first = entry.may_have_run())
         event.doubt = MessageEvent::Doubt{age_of(*first, terms, now), directory_.number_of(first->target)};
-    else if (recovery_.folder_older())  // it may have been sent since the copy was made
+    else if (recovery_.folder_older())  // a restored copy: the message may have been sent since
         event.doubt = MessageEvent::Doubt{*recovery_.folder_older(), {}};
-    tell_module(event);
+    notify_module(event);
 }
-void Forwarder::take_up_due(Time now) {
-    heed_peers();
+/// Resumes the messages that the pacing of the backlog releases now.
+void Forwarder::resume_released_messages(Time now) {
+    apply_peer_state();
     for (const MessageId id : recovery_.take_up(now))
-        if (const Entry* entry = journal_.find(id); entry != nullptr && !entry->notice) take_up(*entry);
+        if (const Entry* entry = journal_.find(id); entry != nullptr && !entry->notice)
+            resume_message(*entry);
 }
 
-/// Of a message that an earlier process held and that nobody decides on any more.
-void Forwarder::end(MessageId id, const Notice& notice) {
-    journal_.end(id, notice);
-    discovery_.report(id, notice);
+/// Ends a message of an earlier process that the module does not know: records and reports its final status.
+void Forwarder::end_message(MessageId id, const Notice& status) {
+    journal_.end(id, status);
+    discovery_.report(id, status);
 }
 
 }  // namespace lockgw
--- a/src/core/forwarder_subsetting.cpp
+++ b/src/core/forwarder_subsetting.cpp
@@ -1,4 +1,4 @@
-/// The forwarder as one of many: which part of the calls is its own, and into how many parts limits go.
+/// Forwarder: its subset of the targets, and its share of limits that hold for the whole cluster.
 #include "core/clocks.hpp"
 #include "core/forwarder.hpp"
 
@@ -7,8 +7,9 @@
 using namespace cometspoke;
 using std::chrono::milliseconds;
 
-/// When it began to serve, where that is so lately that it still warms up.
-std::optional<Time> Forwarder::began(const Target& target, bool put_back) const {
+/// When the target began to serve, if it is still in its slow start. `put_back`: an operator or maintenance
+/// has just put it back, so that its slow start begins now.
+std::optional<Time> Forwarder::slow_start_since(const Target& target, bool put_back) const {
     if (put_back) return steady_now();
     if (target.up_since_ms <= 0) return std::nullopt;
     const milliseconds age(std::max<std::int64_t>(0, unix_ms() - target.up_since_ms));
@@ -16,24 +17,25 @@
     return steady_now() - std::chrono::duration_cast<Time>(age);
 }
 
-/// Which targets of each destination are this forwarder's part, where that has changed.
-void Forwarder::share_out(Time now) {
+/// Tells the module which targets of each destination are in this forwarder's subset, where that has changed.
+void Forwarder::update_subsets(Time now) {
     for (const auto& change : planner_.changes(now)) {
         SpreadEvent event;
         event.destination = change.destination;
         for (const spread::Part& part : change.parts)
             if (const auto endpoint = directory_.find(part.id))
                 event.parts.push_back({*endpoint, part.weight, part.sharers});
-        tell_module(event);
+        notify_module(event);
     }
 }
 
-/// Others of the tier have come or gone.
-void Forwarder::stand(const TierWatch::Standing& standing) {
-    standing_ = standing;
-    planner_.stand(spread::point_of(standing.rank, standing.present), standing.present, standing.parts);
-    config_.settings.n_instances = standing.parts;
-    discovery_.among(standing.present);
+/// Other forwarders have joined or left the cluster: its subsets, its share of limits and the pace of its
+/// requests to discovery follow.
+void Forwarder::apply_cluster_view(const TierWatch::Standing& view) {
+    cluster_view_ = view;
+    planner_.stand(spread::point_of(view.rank, view.present), view.present, view.parts);
+    config_.settings.n_instances = view.parts;
+    discovery_.among(view.present);
     observe(SettingsEvent{config_.settings});
 }
 
--- a/src/core/frontend.hpp
+++ b/src/core/frontend.hpp
@@ -1,8 +1,9 @@
-/// What a protocol for clients is to the core: it hands messages in, and gets one reply for each.
+/// The interface between the core and a protocol for clients: the frontend submits messages and gets one
+/// reply for each.
 ///
-/// A front owns its listener and its connections, keeps to its share of the descriptors, and decides nothing
-/// of a message. A second protocol is another folder under src/fronts. Threads: the loop's. The core outlives
-/// its fronts.
+/// A frontend owns its listener and its connections, keeps within its share of the descriptors and makes no
+/// decision about a message. A further protocol goes into its own folder under src/fronts. Not thread-safe:
+/// all calls are on the loop's thread. The core outlives its frontends.
 #pragma once
 
 #include <chrono>
@@ -16,12 +17,12 @@
 
 namespace lockgw {
 
-/// What the client hears of one hand-in.
+/// The reply to one submitted message.
 struct Reply {
     enum class Kind {
-        Accepted,  ///< from now on the forwarder owes the message its end
-        Busy,      ///< refused: it may come again, after `wait` where that is not 0
-        Rejected,  ///< it makes no sense, or is out of time: `why`, in one line
+        Accepted,  ///< recorded: from now on the forwarder delivers it or reports its final status
+        Busy,      ///< refused for now: the client may try again, after `wait` if that is not 0
+        Rejected,  ///< invalid, or past its deadline; `why` says so in one line
     };
     Kind kind = Kind::Accepted;
     std::chrono::milliseconds wait{0};
@@ -32,48 +33,50 @@
     static Reply rejected(std::string why) { return {Kind::Rejected, {}, std::move(why)}; }
 };
 
-/// The core, as a front sees it.
+/// The core as a frontend sees it.
 class Intake {
 public:
     using ReplyCallback = std::function<void(const Reply&)>;
 
-    /// `done` is called once, in this call or later.
-    virtual void submit(Message message, cometspoke::Time left, ReplyCallback done) = 0;
-    /// Gives a descriptor of somebody else back, where one is needed at the door; false where there is none.
+    /// Submits a message whose deadline is in `left`. `on_reply` is called once, in this call or later.
+    virtual void submit(Message message, cometspoke::Time left, ReplyCallback on_reply) = 0;
+    /// Frees a descriptor outside the frontend, because a client needs one. False if none can be freed.
     virtual bool free_descriptor() = 0;
 
 protected:
     ~Intake() = default;
 };
 
+/// A protocol for clients.
 class Frontend {
 public:
     virtual ~Frontend() = default;
 
-    /// Throws where its address cannot be had.
+    /// Starts to listen. Throws if its address cannot be used.
     virtual void listen() = 0;
-    /// Hands on those that rest, as many at a time as the others take, then as drain(). Begins at once to
-    /// count the time that `plan` has.
+    /// Hands the clients over to other forwarders by closing idle connections at the pace of `plan`, and then
+    /// drains. The time of `plan` starts now.
     virtual void hand_over_clients(const admission::HandOver& plan) = 0;
-    /// No new connections; those there are close between requests.
+    /// Accepts no new connections, and closes each existing one as soon as it is between requests.
     virtual void drain() = 0;
-    /// Out of service: PING says no at once; clients are served for a grace and then let go, and from then on
-    /// nothing is taken in. In service: as before. It goes on listening in both.
+    /// Out of service: PING gets an error at once; clients are served for a grace period and then
+    /// disconnected, and no message is accepted from then on. In service: normal operation. It listens in
+    /// both.
     virtual void set_in_service(bool in_service) = 0;
-    /// drain(), and nothing more is read from any client: what has been read gets its answer, and each
-    /// connection ends behind it. For the last moments of a process: a request that was read and never
-    /// answered is lost to its client, one that was not read is handed in elsewhere.
+    /// Like drain(), and reads nothing more from any client. Requests that have been read are answered, and
+    /// each connection is closed after that. For the last moments of a process: a request that was read and
+    /// never answered is lost to its client, while one that was not read is submitted to another forwarder.
     virtual void stop_reading() = 0;
-    /// A request that was read has no answer yet, or its answer is not all written.
+    /// Whether a request that was read has no reply yet, or its reply is not fully written.
     virtual bool has_pending_replies() const = 0;
-    /// Nobody is connected any more, but those that have only to close on their side.
+    /// Whether no client is connected, except those that only have to close their side.
     virtual bool empty() const = 0;
-    /// For people and programs: counters by name.
+    /// Counters and limits by name, for the status command.
     virtual Json status() const = 0;
 };
 
-/// Makes a front that may hold so many descriptors.
+/// Creates a frontend that may hold at most `max_connections` descriptors.
 using FrontendFactory = std::function<std::unique_ptr<Frontend>(
-    asio::io_context&, const Config&, std::size_t most_connections, Intake&)>;
+    asio::io_context&, const Config&, std::size_t max_connections, Intake&)>;
 
 }  // namespace lockgw
