--- a/tests/dedup_window_test.cpp
+++ b/tests/dedup_window_test.cpp
@@ -1,5 +1,5 @@
-// A keyed message that may have run goes again only while its target still remembers the key, whatever
-// happens between the choice of a call and its last byte.
+// A keyed message that may have run is retried only within its deduplication window, while the target still
+// remembers the key, whatever happens between the decision on a call and its last byte.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -14,28 +14,30 @@
 
 using rig::CallScript;
 
-constexpr auto kWindow = 4000ms;  // of the class "keyed", from the first call that may have run
+constexpr auto kWindow = 4000ms;  // of the class "keyed", since the first call that may have run
 
-class WindowTest : public MembershipTest {
+class DedupWindowTest : public MembershipTest {
 protected:
-    WindowTest() { node.config()["settings"]["limits"]["connect_timeout_ms"] = 6000; }
+    DedupWindowTest() { node.config()["settings"]["limits"]["connect_timeout_ms"] = 6000; }
 
-    /// Calls that came later than the window after the first one with their key, on the target's clock. The
-    /// first is chosen before it arrives: that makes it milder by the time of one call, never sharper.
-    std::size_t too_late() const {
-        std::map<std::string, rig::Clock::time_point> first;
+    /// The number of calls that arrived later than the window after the first call with their key, on the
+    /// target's clock. The window begins when the first call is decided, before it arrives, so this count is
+    /// too lenient by the duration of one call and never too strict.
+    std::size_t calls_after_window() const {
+        std::map<std::string, rig::Clock::time_point> first_calls;
         std::size_t late = 0;
         for (const auto& call : targets.calls()) {
-            const auto [at, fresh] = first.emplace(call.key, call.first_byte);
-            if (!fresh && call.first_byte - at->second > kWindow) ++late;
+            const auto [first, inserted] = first_calls.emplace(call.key, call.first_byte);
+            if (!inserted && call.first_byte - first->second > kWindow) ++late;
         }
         return late;
     }
 };
 
-// Each call takes effect and breaks off after 1.5 s. Its repeat is chosen then, and the connection for that
-// comes up only after the window: the kernel tries again 1 and 3 s after the first time.
-TEST_F(WindowTest, NoRepeatGoesOutOnAConnectionThatComesUpAfterIt) {
+// Each call takes effect, and its connection breaks after 1.5 s. The retry is decided then, and its
+// connection is established only after the window, because the kernel repeats the SYN 1 s and 3 s after the
+// first.
+TEST_F(DedupWindowTest, NoRetryIsSentOnAConnectionEstablishedAfterTheWindow) {
     constexpr std::size_t kTargets = 3;
     CallScript script;
     script.kind = CallScript::Kind::Reset;
@@ -52,31 +54,34 @@
     ASSERT_TRUE(targets.wait_calls(kTargets, kDeadline));
     for (std::size_t i = 0; i < kTargets; ++i) targets.freeze(i, kWindow + 200ms);
     ASSERT_TRUE(waits_for([&] { return directory.notices().size() >= kTargets; })) << node.log();
-    std::this_thread::sleep_for(1500ms);  // what is out by mistake arrives
-    EXPECT_EQ(too_late(), 0u) << node.log();
+    std::this_thread::sleep_for(1500ms);  // long enough for a wrong retry to arrive
+    EXPECT_EQ(calls_after_window(), 0u) << node.log();
     EXPECT_EQ(targets.calls().size(), kTargets) << node.log();
 }
 
-/// What an earlier process left, written down while the wall clock stood an hour away from where it stands
-/// now.
-class ClockSetOverARestart : public WindowTest {
+/// A journal of an earlier process, written while the wall clock was an hour away from its present time.
+class ClockSetDuringRestart : public DedupWindowTest {
 protected:
     using Span = std::chrono::microseconds;
-    /// So far from now on the clock that cannot be set, and on the one that was set meanwhile.
-    static Moment apart(Span steady, Span wall) {
+    /// The moment at these distances from now, on the steady clock and on the wall clock, which was set
+    /// meanwhile.
+    static Moment moment_at(Span steady, Span wall) {
         Moment moment = moment_now();
         moment.steady += steady;
         moment.wall += wall;
         return moment;
     }
-    void leave(MessageId id, const char* kind, const Moment& deadline, const std::optional<Moment>& tried) {
+    /// Leaves a message in the journal. `attempted`: when an attempt began that has no outcome.
+    void leave_in_journal(MessageId id, const char* message_class, const Moment& deadline,
+        const std::optional<Moment>& attempted) {
         std::filesystem::create_directories(node.state());
         Journal journal(node.state(), 1 << 20);
         Message message;
-        message.id = id, message.message_class = kind, message.tenant = "acme", message.destination = 7;
+        message.id = id, message.message_class = message_class, message.tenant = "acme",
+        message.destination = 7;
         message.key = std::to_string(id), message.body = "BODY", message.deadline = deadline;
         ASSERT_TRUE(journal.take_on(message));
-        const bool kept = !tried || journal.begin_attempt(id, "s-0", *tried);
+        const bool kept = !attempted || journal.begin_attempt(id, "s-0", *attempted);
         ASSERT_TRUE(kept);
     }
     std::set<std::string> keys_called() const {
@@ -86,23 +91,27 @@
     }
 };
 
-TEST_F(ClockSetOverARestart, WindowAndDeadlineGoByTheClockThatCannotBeSet) {
-    const Moment later = apart(60s, 60s);
-    leave(1, "keyed", later, apart(-kWindow - 2s, 1h));  // set back: seems to have been tried in the future
-    leave(2, "keyed", later, apart(-1ms, -1h));          // set forward: seems to have been tried long ago
-    leave(3, "safe", apart(-1s, 1h), {});                // set back: seems to have time left
-    leave(4, "safe", apart(60s, -1h), {});               // set forward: seems to be out of time
+TEST_F(ClockSetDuringRestart, WindowAndDeadlineFollowTheSteadyClock) {
+    const Moment in_a_minute = moment_at(60s, 60s);
+    // The clock was set back: the attempt seems to lie in the future.
+    leave_in_journal(1, "keyed", in_a_minute, moment_at(-kWindow - 2s, 1h));
+    // The clock was set forward: the attempt seems to be long ago.
+    leave_in_journal(2, "keyed", in_a_minute, moment_at(-1ms, -1h));
+    // The clock was set back: the deadline seems to lie in the future.
+    leave_in_journal(3, "safe", moment_at(-1s, 1h), {});
+    // The clock was set forward: the deadline seems to have passed.
+    leave_in_journal(4, "safe", moment_at(60s, -1h), {});
     start_with({member("s-0", 0)});
     ASSERT_TRUE(targets.wait_calls(2, kDeadline)) << node.log();
     ASSERT_TRUE(waits_for([&] { return directory.notices().size() >= 2; })) << node.log();
     EXPECT_EQ(keys_called(), (std::set<std::string>{"2", "4"}));
 }
 
-// A machine that was started anew, and whose clock was set back: no clock tells how long ago the call was.
-TEST_F(ClockSetOverARestart, NothingIsRepeatedWhereNoClockCanTell) {
-    Moment other_boot = apart(-1ms, 1h);
+// After a reboot with the wall clock set back, no clock tells how long ago the call was.
+TEST_F(ClockSetDuringRestart, NothingIsRetriedWhenNoClockTellsTheAge) {
+    Moment other_boot = moment_at(-1ms, 1h);
     ++other_boot.boot;
-    leave(1, "keyed", apart(60s, 60s), other_boot);
+    leave_in_journal(1, "keyed", moment_at(60s, 60s), other_boot);
     start_with({member("s-0", 0)});
     ASSERT_TRUE(waits_for([&] { return !directory.notices().empty(); })) << node.log();
     EXPECT_EQ(targets.calls().size(), 0u) << node.log();
--- a/tests/descriptor_exhaustion_test.cpp
+++ b/tests/descriptor_exhaustion_test.cpp
@@ -1,4 +1,4 @@
-// Descriptors run out while the program runs: others of the machine hold them, or its limit was lowered.
+// File descriptors run out while the program runs, because others hold them or the limit was lowered.
 #include <sys/resource.h>
 #include <sys/stat.h>
 
@@ -9,33 +9,35 @@
 namespace lockgw {
 namespace {
 
-class DescriptorsTest : public MembershipTest {
+class DescriptorExhaustionTest : public MembershipTest {
 protected:
-    DescriptorsTest() : MembershipTest(3) { node.config()["limits"]["disk_mb"] = 8; }
+    DescriptorExhaustionTest() : MembershipTest(3) { node.config()["limits"]["disk_mb"] = 8; }
 
-    void limit(rlim_t most) {
+    void set_descriptor_limit(rlim_t most) {
         const rlimit wanted{most, 4096};
         ASSERT_EQ(prlimit(node.pid(), RLIMIT_NOFILE, &wanted, nullptr), 0);
     }
-    /// From now on no descriptor is to be had beyond those that are open. A limit binds the highest number:
-    /// clients take the numbers below it that are free.
-    void leave_none() {
+    /// Uses up all descriptors of the forwarder. The limit bounds the highest descriptor number, so it is set
+    /// just above the highest open one, and idle clients take the free numbers below it.
+    void exhaust_descriptors() {
         rlim_t most = 0;
-        for (const auto& one :
+        for (const auto& descriptor :
             std::filesystem::directory_iterator("/proc/" + std::to_string(node.pid()) + "/fd"))
-            most = std::max<rlim_t>(most, std::stoul(one.path().filename().string()) + 1);
-        limit(most);
-        for (rlim_t i = 0; i <= most; ++i) silent.emplace_back(node.address());
+            most = std::max<rlim_t>(most, std::stoul(descriptor.path().filename().string()) + 1);
+        set_descriptor_limit(most);
+        for (rlim_t i = 0; i <= most; ++i) idle_clients.emplace_back(node.address());
         ASSERT_TRUE(node.logs("cannot accept")) << node.log();
     }
-    /// A client whose connection was closed, for one that came in, hands the same message in again.
-    std::string hand_in(const char* kind, int cell, const std::string& body = "BODY") {
+    /// Submits a message until it is accepted, and returns its id. A client whose connection was closed in
+    /// favour of a new one reconnects and submits the same id again.
+    std::string submit(const char* message_class, int destination, const std::string& body = "BODY") {
         const std::string id = fresh_id();
         for (int i = 0; i < 100; ++i) {
             if (!client) client.emplace(node.address());
             try {
                 client->send(rig::command({"ENQUEUE", "0000000000000000", id,
-                    std::string("c=") + kind + ",t=acme,d=30000,k=" + id + ",dest=" + std::to_string(cell),
+                    std::string("c=") + message_class + ",t=acme,d=30000,k=" + id +
+                        ",dest=" + std::to_string(destination),
                     body}));
                 if (client->line() == "+OK") break;
             } catch (const boost::system::system_error&) {
@@ -44,8 +46,8 @@
         }
         return id;
     }
-    /// The first words of what the console answers to an order.
-    static std::string ordered(const Tcp::endpoint& console, const std::string& order) {
+    /// Sends an order to the console and returns the start of its response, up to the status.
+    static std::string send_order(const Tcp::endpoint& console, const std::string& order) {
         asio::io_context io;
         Tcp::socket socket(io);
         socket.connect(console);
@@ -55,24 +57,24 @@
         asio::read(socket, asio::dynamic_buffer(answer), ended);
         return answer.substr(0, 12);
     }
-    static constexpr auto kDown = 3s;
+    static constexpr auto kDiscoveryDown = 3s;
 
     std::optional<Client> client;
-    std::list<Client> silent;
-    ino_t journal_file() const {
+    std::list<Client> idle_clients;
+    ino_t journal_inode() const {
         struct stat info {};
         return ::stat((node.state() / "journal").c_str(), &info) == 0 ? info.st_ino : 0;
     }
 };
 
-// A call that finds no descriptor says nothing of its target: it goes over a connection that there is, or
-// later, and the target is not held to be ill.
-TEST_F(DescriptorsTest, ATargetIsNotBlamedForWantOfDescriptorsHere) {
+// A call that cannot get a descriptor says nothing about its target. It uses an existing connection or is
+// sent later, and the target is not considered unhealthy.
+TEST_F(DescriptorExhaustionTest, MissingDescriptorsDoNotMakeATargetUnhealthy) {
     start_with({member("s-1", 0), member("s-2", 1, 8), member("s-3", 2, 9)});
-    hand_in("safe", 7);
-    leave_none();
+    submit("safe", 7);
+    exhaust_descriptors();
     std::vector<std::string> ids;
-    for (const int cell : {7, 8, 9, 7, 8, 9}) ids.push_back(hand_in("unsafe", cell));
+    for (const int destination : {7, 8, 9, 7, 8, 9}) ids.push_back(submit("unsafe", destination));
     const auto all_ran = [&] {
         const auto effects = targets.effects_by_id();
         return std::all_of(ids.begin(), ids.end(), [&](const auto& id) { return effects.contains(id); });
@@ -82,83 +84,84 @@
     EXPECT_TRUE(directory.notices().empty()) << node.log();
 }
 
-TEST_F(DescriptorsTest, TheJournalIsWrittenAnewAllTheSame) {
+TEST_F(DescriptorExhaustionTest, TheJournalIsStillCompacted) {
     start_with({member("s-1", 0)});
-    hand_in("safe", 7);
-    const ino_t before = journal_file();
-    leave_none();
+    submit("safe", 7);
+    const ino_t before = journal_inode();
+    exhaust_descriptors();
     const std::string body(60'000, 'b');
-    for (int i = 0; i < 400 && journal_file() == before; ++i) hand_in("safe", 7, body);
-    EXPECT_NE(journal_file(), before) << "never compacted\n" << node.log();
+    for (int i = 0; i < 400 && journal_inode() == before; ++i) submit("safe", 7, body);
+    EXPECT_NE(journal_inode(), before) << "the journal was never compacted\n" << node.log();
 }
 
-TEST_F(DescriptorsTest, DiscoveryIsAskedOnOverANewConnection) {
+TEST_F(DescriptorExhaustionTest, DiscoveryStillGetsANewConnection) {
     start_with({member("s-1", 0), member("s-2", 1)});
-    leave_none();
+    exhaust_descriptors();
     directory.fault({rig::ListFault::Kind::Reset, 3});
     directory.put(member("s-1", 0, 7, "terminating"));
     ASSERT_TRUE(directory.wait_asked_from(directory.revision(), kDeadline)) << node.log();
 }
 
-TEST_F(DescriptorsTest, ClientsComeInAgainOnceThereAreSome) {
+TEST_F(DescriptorExhaustionTest, ClientsAreAcceptedAgainOnceDescriptorsAreFree) {
     start_with({member("s-1", 0)});
-    hand_in("safe", 7);
-    leave_none();
+    submit("safe", 7);
+    exhaust_descriptors();
     Client waiting(node.address());
     const std::string id = fresh_id();
     waiting.send(rig::command({"ENQUEUE", "0000000000000000", id, "c=safe,t=acme,d=30000,k=x,dest=7", "B"}));
-    limit(256);
+    set_descriptor_limit(256);
     EXPECT_EQ(waiting.line(), "+OK") << node.log();
 }
 
-// Sixty-four callers of the console that send nothing, clients that crowd the door, and not one descriptor
-// left: operators are heard all the same, and their order is kept.
-TEST_F(DescriptorsTest, OperatorsAreHeardWithNoneLeft) {
+// Orders are carried out and stored although no descriptor is left, 64 connections to the console send
+// nothing, and idle clients hold all others.
+TEST_F(DescriptorExhaustionTest, OperatorsOrdersAreStillCarriedOut) {
     asio::io_context io;
     const auto console = rig::free_endpoint();
     node.config()["console"] = text_of(console);
     start_with({member("s-1", 0), member("s-2", 1)});
-    std::list<Tcp::socket> callers;
-    const auto silent_caller = [&] { callers.emplace_back(io).connect(console); };
-    for (int i = 0; i < 8; ++i) silent_caller();
-    leave_none();
-    for (int i = 0; i < 56; ++i) silent_caller();
+    std::list<Tcp::socket> console_connections;
+    const auto connect_silently = [&] { console_connections.emplace_back(io).connect(console); };
+    for (int i = 0; i < 8; ++i) connect_silently();
+    exhaust_descriptors();
+    for (int i = 0; i < 56; ++i) connect_silently();
     for (const char* order : {"targets/s-1/offline", "out-of-service", "in-service", "targets/s-2/offline"}) {
-        EXPECT_EQ(ordered(console, order), "HTTP/1.1 200") << order << '\n' << node.log();
+        EXPECT_EQ(send_order(console, order), "HTTP/1.1 200") << order << '\n' << node.log();
     }
     std::ifstream kept(node.state() / "orders");
     EXPECT_EQ(Json::parse(kept)["out"], (Json{"s-1", "s-2"}));
 }
 
-// Idle clients hold all descriptors while discovery is down. Messages go on, operators are heard, discovery
-// is asked as soon as it can be reached, and once the idle ones go others come in: without a restart.
-TEST_F(DescriptorsTest, IdleClientsHoldAllOfThemWhileDiscoveryIsDown) {
+// Idle clients hold all descriptors while discovery is down. Messages are still delivered, orders are carried
+// out, discovery is polled as soon as it can be reached, and once the idle clients leave new ones are
+// accepted: all without a restart.
+TEST_F(DescriptorExhaustionTest, IdleClientsHoldAllDescriptorsWhileDiscoveryIsDown) {
     const auto console = rig::free_endpoint();
     node.config()["console"] = text_of(console);
     start_with({member("s-1", 0), member("s-2", 1, 8)});
-    hand_in("safe", 7);
-    const ino_t before = journal_file();
-    directory.fault(
-        {rig::ListFault::Kind::Freeze, 0, kDown});  // the call that waits takes it with the change
-    const auto down_until = std::chrono::steady_clock::now() + kDown;
+    submit("safe", 7);
+    const ino_t before = journal_inode();
+    // The pending poll takes the fault together with the change.
+    directory.fault({rig::ListFault::Kind::Freeze, 0, kDiscoveryDown});
+    const auto down_until = std::chrono::steady_clock::now() + kDiscoveryDown;
     directory.put(member("s-1", 0, 7, "terminating"));
     ASSERT_TRUE(waits_for([&] { return directory.faults_left() == 0; }));
-    leave_none();
+    exhaust_descriptors();
 
     std::vector<std::string> ids;
     const std::string body(60'000, 'b');
-    for (int i = 0; i < 400 && journal_file() == before; ++i) ids.push_back(hand_in("safe", 8, body));
-    EXPECT_NE(journal_file(), before) << "the journal is not written anew\n" << node.log();
+    for (int i = 0; i < 400 && journal_inode() == before; ++i) ids.push_back(submit("safe", 8, body));
+    EXPECT_NE(journal_inode(), before) << "the journal was never compacted\n" << node.log();
     EXPECT_TRUE(waits_for([&] { return targets.effects_by_id().contains(ids.back()); })) << node.log();
-    EXPECT_EQ(ordered(console, "targets/s-2/offline"), "HTTP/1.1 200") << node.log();
-    EXPECT_EQ(ordered(console, "targets/s-2/online"), "HTTP/1.1 200") << node.log();
+    EXPECT_EQ(send_order(console, "targets/s-2/offline"), "HTTP/1.1 200") << node.log();
+    EXPECT_EQ(send_order(console, "targets/s-2/online"), "HTTP/1.1 200") << node.log();
 
     std::this_thread::sleep_until(down_until);
     EXPECT_TRUE(directory.wait_asked_from(directory.revision(), 6s)) << node.log();
-    silent.clear();
+    idle_clients.clear();
     Client late(node.address());
     EXPECT_EQ(late.ask({"PING"}), "+PONG") << node.log();
-    const std::string last = hand_in("safe", 8);
+    const std::string last = submit("safe", 8);
     EXPECT_TRUE(waits_for([&] { return targets.effects_by_id().contains(last); })) << node.log();
 }
 
--- a/tests/net_helpers.hpp
+++ b/tests/net_helpers.hpp
@@ -1,6 +1,6 @@
-/// What the tests of the forwarder share: a configuration, a folder, stub sockets and the built program.
+/// Helpers for tests of the forwarder over sockets: the built program as a process, and an HTTP stub server.
 ///
-/// Every wait is for an event, with a deadline far beyond what a loaded machine needs.
+/// Every wait is for an event, with a deadline far longer than a loaded machine needs.
 #pragma once
 
 #include <fcntl.h>
@@ -45,27 +45,29 @@
 using rig::TemporaryFolder;
 using rig::text_of;
 
-/// The program of this build.
+/// A process of the program of this build.
 struct Node : rig::Node {
     explicit Node(Json config) : rig::Node(std::move(config), NODE_PATH) {}
 };
 
-/// One request that came to a stub, until it is answered or its connection ended.
+/// A request that a stub server received, and the means to answer it or to close its connection.
 struct Exchange {
     http::request<http::string_body> request;
-    std::function<void(const std::string&)> write;  ///< raw bytes of an answer
-    std::function<void()> hang_up;
+    std::function<void(const std::string&)> write;  ///< sends the raw bytes of a response
+    std::function<void()> hang_up;                  ///< closes the connection
 
     std::string header(const char* name) const {
         const auto value = request[name];
         return {value.data(), value.size()};
     }
+    /// Responds with an empty body.
     void answer(int status, const std::string& headers = "") const {
         write("HTTP/1.1 " + std::to_string(status) + " X\r\nContent-Length: 0\r\n" + headers + "\r\n");
     }
 };
 
-/// An HTTP server on 127.0.0.1 that keeps connections open; each request waits for the test.
+/// An HTTP server on 127.0.0.1, on a thread of its own. It keeps connections open, and leaves each request to
+/// the test.
 class HttpStub {
 public:
     HttpStub() : acceptor_(io_, {asio::ip::address_v4::loopback(), 0}) {
@@ -77,12 +79,13 @@
         thread_.join();
     }
     std::string address() const { return text_of(acceptor_.local_endpoint()); }
+    /// The number of connections accepted so far.
     int connections() const { return connections_; }
 
-    /// The next request; fails the test where none comes.
+    /// The next request. Throws, which fails the test, if none arrives in time.
     Exchange next(std::chrono::milliseconds within = kDeadline) {
         std::unique_lock lock(mutex_);
-        if (!came_.wait_for(lock, within, [this] { return !requests_.empty(); }))
+        if (!arrived_.wait_for(lock, within, [this] { return !requests_.empty(); }))
             throw std::runtime_error("no request came");
         Exchange exchange = std::move(requests_.front());
         requests_.pop_front();
@@ -90,7 +93,7 @@
     }
     bool no_request_within(std::chrono::milliseconds span) {
         std::unique_lock lock(mutex_);
-        return !came_.wait_for(lock, span, [this] { return !requests_.empty(); });
+        return !arrived_.wait_for(lock, span, [this] { return !requests_.empty(); });
     }
 
 private:
@@ -120,7 +123,7 @@
                 if (failed) return;
                 const std::lock_guard lock(mutex_);
                 requests_.push_back(exchange_of(connection));
-                came_.notify_all();
+                arrived_.notify_all();
             });
     }
     Exchange exchange_of(const std::shared_ptr<Connection>& connection) {
@@ -145,7 +148,7 @@
     std::atomic<bool> stopping_ = false;
     std::atomic<int> connections_ = 0;
     std::mutex mutex_;
-    std::condition_variable came_;
+    std::condition_variable arrived_;
     std::deque<Exchange> requests_;
     std::thread thread_;
 };
--- a/tests/node_fixture.hpp
+++ b/tests/node_fixture.hpp
@@ -1,4 +1,4 @@
-/// The built program between stub sockets: clients, targets and discovery.
+/// Fixture for tests of the built program between stub servers for its targets and the discovery agent.
 #pragma once
 
 #include <sstream>
@@ -10,16 +10,19 @@
 
 using Clock = std::chrono::steady_clock;
 
+/// An entry of a target list, as the agent sends it. `cell`: the destination.
 inline Json member(
     const std::string& id, const std::string& address, int cell, const char* phase = "in_service") {
     return {{"id", id}, {"host_port", address}, {"locality", "a"}, {"flavor", "shop"}, {"cell", cell},
         {"phase", phase}, {"size", 1.0}, {"up_since_ms", 0}};
 }
+/// An answer of the discovery agent.
 inline Json target_list(int revision, bool complete, const std::vector<Json>& members) {
     return {{"revision", revision}, {"complete", complete}, {"members", members}};
 }
 
-/// A forwarder, one target of destination 7 that its first list names, and discovery.
+/// A forwarder, one target of destination 7, and the discovery agent. The list of the configuration names the
+/// target, and a terminating one of destination 99: messages to 99 are accepted and cannot be delivered.
 class NodeTest : public ::testing::Test {
 protected:
     NodeTest() : node(make_config("127.0.0.1:1", agent.address())) {
@@ -27,7 +30,8 @@
             {member("s-1", target.address(), 7), member("s-99", target.address(), 99, "terminating")});
     }
 
-    /// Requests to discovery come on two connections: this passes over those of the other kind.
+    /// The next request to the agent with this path. Polls of the list and reports come on two connections;
+    /// requests with another path are skipped.
     Exchange agent_request(const std::string& path) {
         while (true) {
             Exchange exchange = agent.next();
@@ -36,7 +40,7 @@
             if (path == "/reports") watches.push_back(exchange);
         }
     }
-    /// Watches go on coming meanwhile.
+    /// Whether no report arrives within `span`. Polls of the list are ignored.
     bool no_report_within(std::chrono::milliseconds span) {
         const auto until = Clock::now() + span;
         while (Clock::now() < until) {
@@ -46,27 +50,30 @@
         }
         return true;
     }
+    /// The final statuses in a report, one JSON line each.
     std::vector<Json> final_statuses(const Exchange& report) {
         std::vector<Json> lines;
         std::istringstream stream(report.request.body());
         for (std::string text; std::getline(stream, text);) lines.push_back(Json::parse(text));
         return lines;
     }
-    static void respond_json(const Exchange& watch, const Json& told) {
-        const std::string body = told.dump();
-        watch.write("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
+    static void respond_json(const Exchange& exchange, const Json& json) {
+        const std::string body = json.dump();
+        exchange.write(
+            "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
     }
-    std::string enqueue(Client& client, const std::string& id, const std::string& kind = "safe",
-        int left_ms = 30000, const std::string& body = "BODY", int destination = 7) {
+    /// Submits a message and returns the reply. `message_class`: a class of make_config().
+    std::string enqueue(Client& client, const std::string& id, const std::string& message_class = "safe",
+        int deadline_ms = 30000, const std::string& body = "BODY", int destination = 7) {
         return client.ask({"ENQUEUE", "0000000000000000", id,
-            "c=" + kind + ",t=acme,d=" + std::to_string(left_ms) +
+            "c=" + message_class + ",t=acme,d=" + std::to_string(deadline_ms) +
                 ",k=5c0f6e1a2b3d4c59,dest=" + std::to_string(destination),
             body});
     }
 
     HttpStub agent, target;
     Node node;
-    std::vector<Exchange> watches;  // left unanswered
+    std::vector<Exchange> watches;  // polls left unanswered, so that their connections stay open
     const std::string id = "9b1f03aa5c7e2d41";
 };
 
--- a/tests/node_test.cpp
+++ b/tests/node_test.cpp
@@ -1,12 +1,13 @@
-// The built program between stub sockets: clients, targets and discovery.
+// The built program between stub servers: intake, calls, restarts, discovery and invalid input.
 #include "node_fixture.hpp"
 
 namespace lockgw {
 namespace {
 
-// One of a hundred that start together: it serves by the list as last had, asks for what has changed since,
-// in its own time within 2 s, and holds long, for each end of a watch is a call.
-TEST_F(NodeTest, OneOfManyAsksForChangesOnlyAndHoldsLong) {
+// When a hundred forwarders start together, each serves by its last known list and asks only for the changes
+// since then, at its own time within 2 s. It asks the agent to hold the request long, because each end of a
+// long poll costs a call.
+TEST_F(NodeTest, OneOfAHundredForwardersPollsForChangesWithALongHold) {
     node.config()["settings"]["n_instances"] = 100;
     node.start_ready();
     Client client = node.client();
@@ -17,9 +18,9 @@
     respond_json(first, target_list(1, false, {}));
     EXPECT_EQ(std::string(agent_request("/v1/servers").request.target()), "/v1/servers?from=1&hold_ms=10000");
 }
-// What the agent has counts as told, and new sends must have stopped 500 ms after a drain is: however many
-// start together, none may wait for longer with its first request.
-TEST_F(NodeTest, OneOfVeryManyAsksBeforeADrainWouldBind) {
+// New calls to a target must have stopped 500 ms after the agent knows that it drains. So however many
+// forwarders start together, none may send its first request later than that.
+TEST_F(NodeTest, OneOfManyForwardersPollsFirstWithinTheDrainGrace) {
     node.config()["settings"]["n_instances"] = 300;
     for (const char* seed : {"8c1f30d27a5be964", "1", "2", "3"}) {
         node.config()["seed"] = seed;
@@ -31,9 +32,9 @@
         node.kill(), node.wait();
     }
 }
-// Where drains bind sooner they are asked about sooner. This seed draws the end of the span; a busy machine
-// only ever adds to it, so that the shortest of some starts tells.
-TEST_F(NodeTest, OneOfVeryManyAsksByTheGraceOfTheSettings) {
+// A shorter drain grace makes the first request come sooner. This seed draws the end of the span. A busy
+// machine can only add to the delay, so the shortest of several starts is checked.
+TEST_F(NodeTest, FirstPollFollowsTheConfiguredDrainGrace) {
     node.config()["settings"]["n_instances"] = 300;
     node.config()["settings"]["contract"]["drain_grace_ms"] = 50;
     node.config()["seed"] = "1b";  // 300 ms of the 300 at most that a grace of 500 ms allows
@@ -47,38 +48,38 @@
     }
     EXPECT_LT(shortest, 120ms);
 }
-// A request that hangs is followed by another the sooner, too: 0.4 of the grace after it should have been
-// answered.
-TEST_F(NodeTest, AsksBesideAnAnswerThatHangsByTheGraceOfTheSettings) {
-    constexpr auto kWait = 1000ms, kUsual = 200ms;  // for a whole list; and what it may be late by usually
-    node.config()["settings"]["n_instances"] = 3;   // asks for the whole list
+// A second request follows one that hangs, 0.4 of the drain grace after the first should have been answered:
+// with a shorter grace, sooner.
+TEST_F(NodeTest, SecondPollBesideAHangingOneFollowsTheConfiguredDrainGrace) {
+    constexpr auto kWait = 1000ms, kUsual = 200ms;  // for a full list; and the delay with the default grace
+    node.config()["settings"]["n_instances"] = 3;   // requests the full list
     node.config()["settings"]["contract"]["drain_grace_ms"] = 50;
     auto shortest = Clock::duration::max();
     for (int i = 0; i < 5; ++i) {
         node.start();
-        const Exchange hangs = agent_request("/v1/servers");
-        const auto asked = Clock::now();
+        const Exchange hanging = agent_request("/v1/servers");
+        const auto requested = Clock::now();
         agent_request("/v1/servers");
-        shortest = std::min(shortest, Clock::now() - asked);
+        shortest = std::min(shortest, Clock::now() - requested);
         node.kill(), node.wait();
     }
     EXPECT_LT(shortest, kWait + kUsual - 50ms);
 }
-// One of very many holds its watches for 10 s. A whole list, for which it asks without a hold, must not be
-// waited for as long: with that request silent nothing is watched.
-TEST_F(NodeTest, OneOfVeryManyAsksAgainSoonWhereAWholeListNeverComes) {
+// With very many forwarders a long poll is held for 10 s. A request for the full list, which asks for no
+// hold, must time out sooner: while it is unanswered no change of the list is seen.
+TEST_F(NodeTest, RetriesSoonWhenTheFullListDoesNotArrive) {
     node.config()["settings"]["n_instances"] = 300;
     node.config()["known"] = nullptr;
     node.start();
-    std::vector<Exchange> silent;  // their connections stay open
+    std::vector<Exchange> unanswered;  // their connections stay open
     for (int hung = 0; hung < 3; ++hung) {
         const auto before = Clock::now();
-        silent.push_back(agent_request("/v1/servers"));
+        unanswered.push_back(agent_request("/v1/servers"));
         EXPECT_LT(Clock::now() - before, 5s) << hung;
-        EXPECT_EQ(std::string(silent.back().request.target()), "/v1/servers");
+        EXPECT_EQ(std::string(unanswered.back().request.target()), "/v1/servers");
     }
 }
-TEST_F(NodeTest, OneOfFewAsksForTheWholeListAtOnce) {
+TEST_F(NodeTest, OneOfFewForwardersRequestsTheFullListAtOnce) {
     node.config()["settings"]["n_instances"] = 3;
     node.start();
     const Exchange first = agent_request("/v1/servers");
@@ -87,19 +88,20 @@
     EXPECT_EQ(std::string(agent_request("/v1/servers").request.target()), "/v1/servers?from=1&hold_ms=1500");
 }
 
-TEST_F(NodeTest, DeliversUnchangedOverOneConnection) {
-    node.config()["settings"]["family_info"]["slots"] = 1;  // the second call follows the first answer
+TEST_F(NodeTest, DeliversBodiesUnchangedAndReusesTheConnection) {
+    node.config()["settings"]["family_info"]["slots"] = 1;  // the second call starts after the first answer
     node.start_ready();
     Client client = node.client();
     const std::string body("\0\r\n$5\xff", 6);
-    // both are held before the first answer: a connection that nothing waits for is closed
+    // both messages are accepted before the first answer: a connection with no waiting call is closed
     const std::vector<std::string> ids{id, "00000000000000aa"};
-    for (const std::string& one : ids) ASSERT_EQ(enqueue(client, one, "keyed", 30000, body), "+OK");
-    for (const std::string& one : ids) {
+    for (const std::string& message_id : ids)
+        ASSERT_EQ(enqueue(client, message_id, "keyed", 30000, body), "+OK");
+    for (const std::string& message_id : ids) {
         const Exchange call = target.next();
         EXPECT_EQ(call.request.method(), http::verb::post);
         EXPECT_EQ(call.request.target(), "/v1/messages");
-        EXPECT_EQ(call.header("X-Call-Id"), one);
+        EXPECT_EQ(call.header("X-Call-Id"), message_id);
         EXPECT_EQ(call.header("Idempotency-Key"), "5c0f6e1a2b3d4c59");
         EXPECT_GT(std::stoi(call.header("X-Budget-Ms")), 0);
         EXPECT_LE(std::stoi(call.header("X-Budget-Ms")), 30000);
@@ -109,7 +111,7 @@
     EXPECT_EQ(target.connections(), 1);
 }
 
-TEST_F(NodeTest, TakesPipelinedRequestsAndAnswersInOrder) {
+TEST_F(NodeTest, AnswersPipelinedRequestsInOrder) {
     node.start_ready();
     Client client = node.client();
     const std::string request = "*5\r\n$7\r\nENQUEUE\r\n$1\r\n0\r\n$16\r\n" + id +
@@ -120,8 +122,8 @@
     EXPECT_EQ(client.line().substr(0, 4), "-ERR");
 }
 
-// An id comes twice when its client met a closed connection: it is one message.
-TEST_F(NodeTest, TakesAnIdOnOnce) {
+// A client whose connection was closed submits the same id again: it is one message.
+TEST_F(NodeTest, DeliversAnIdSubmittedTwiceOnlyOnce) {
     node.start_ready();
     Client client = node.client();
     EXPECT_EQ(enqueue(client, id), "+OK");
@@ -131,8 +133,8 @@
     EXPECT_TRUE(target.no_request_within(300ms));
 }
 
-class Repeated : public NodeTest, public ::testing::WithParamInterface<const char*> {};
-TEST_P(Repeated, GoesAgainUnderTheSameId) {
+class RetriedAnswer : public NodeTest, public ::testing::WithParamInterface<const char*> {};
+TEST_P(RetriedAnswer, IsRetriedUnderTheSameCallId) {
     node.start_ready();
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id), "+OK");
@@ -143,7 +145,7 @@
     second.answer(200);
     EXPECT_TRUE(target.no_request_within(300ms));
 }
-INSTANTIATE_TEST_SUITE_P(Node, Repeated,
+INSTANTIATE_TEST_SUITE_P(Node, RetriedAnswer,
     ::testing::Values("HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n",
         "HTTP/1.1 503 X\r\nContent-Length: 0\r\nConnection: close\r\n\r\n",
         "HTTP/1.1 503 X\r\nContent-Length: 0\r\nX-Over-Slots: 1\r\n\r\n",
@@ -152,21 +154,21 @@
         "HTTP/1.1 999 X\r\nX-Load-Report: x0=,=,x9\r\nContent-Length: 0\r\n\r\n", "this is no HTTP\r\n\r\n",
         ""));
 
-TEST_F(NodeTest, HeedsAToldWait) {
-    node.config()["settings"]["family_info"]["slots"] = 1;  // nothing goes out before the wait is told
+TEST_F(NodeTest, HonoursRetryAfter) {
+    node.config()["settings"]["family_info"]["slots"] = 1;  // the second call waits for the first answer
     node.start_ready();
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id), "+OK");
     const Exchange call = target.next();
-    const auto told = Clock::now();
+    const auto answered_at = Clock::now();
     call.answer(429, "Retry-After: 0.7\r\n");
     ASSERT_EQ(enqueue(client, "00000000000000aa"), "+OK");
     target.next().answer(200);
-    EXPECT_GE(Clock::now() - told, 700ms);
+    EXPECT_GE(Clock::now() - answered_at, 700ms);
 }
 
-// 410: the message is over; neither another call nor a notice is owed.
-TEST_F(NodeTest, EndsAWithdrawnMessageInSilence) {
+// 410 ends the message: no further call and no final status follow.
+TEST_F(NodeTest, EndsAMessageAnsweredWith410WithoutAReport) {
     node.start_ready();
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id, "safe", 1500), "+OK");
@@ -178,8 +180,8 @@
     EXPECT_EQ(ended[0]["ref"], "00000000000000aa");
 }
 
-// The outcome stands with the first line: a connection that breaks behind it must not undo a delivery.
-TEST_F(NodeTest, CountsAFirstLineOf200AsDelivered) {
+// The status line decides the outcome: a connection that breaks after it must not undo a delivery.
+TEST_F(NodeTest, CountsAStatusLineOf200AsDelivered) {
     node.start_ready();
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id), "+OK");
@@ -189,7 +191,7 @@
     EXPECT_TRUE(target.no_request_within(500ms));
 }
 
-TEST_F(NodeTest, GivesUpACallByClosingAndTellsTheEnd) {
+TEST_F(NodeTest, ReportsAMessageDeadAtItsDeadline) {
     node.start_ready();
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id, "safe", 700), "+OK");
@@ -200,7 +202,7 @@
     EXPECT_LE(std::stoi(call.header("X-Budget-Ms")), 700);
 }
 
-TEST_F(NodeTest, NeverRepeatsAnUnsafeMessageInDoubt) {
+TEST_F(NodeTest, NeverRetriesAnUnsafeMessageThatMayHaveRun) {
     node.start_ready();
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id, "unsafe"), "+OK");
@@ -209,24 +211,24 @@
     EXPECT_TRUE(target.no_request_within(300ms));
 }
 
-// A target may close an idle connection: a call written to it would end as a reset, and an unsafe one is
-// lost.
+// A target may close an idle connection. A call written to it would end with a reset, and an unsafe message
+// would be lost.
 TEST_F(NodeTest, DoesNotReuseAConnectionThatTheTargetClosed) {
     node.start_ready();
     Client client = node.client();
-    for (const char* one : {"00000000000000a1", "00000000000000a2", "00000000000000a3"}) {
-        ASSERT_EQ(enqueue(client, one, "unsafe"), "+OK");
+    for (const char* message_id : {"00000000000000a1", "00000000000000a2", "00000000000000a3"}) {
+        ASSERT_EQ(enqueue(client, message_id, "unsafe"), "+OK");
         const Exchange call = target.next();
-        EXPECT_EQ(call.header("X-Call-Id"), one);
+        EXPECT_EQ(call.header("X-Call-Id"), message_id);
         call.answer(200);
         call.hang_up();
-        std::this_thread::sleep_for(100ms);  // the close is on its way
+        std::this_thread::sleep_for(100ms);  // until the close has arrived
     }
     EXPECT_EQ(target.connections(), 3);
 }
 
-// A client that is refused is told when to come back: otherwise it comes into the same full house.
-TEST_F(NodeTest, AnswersBusyAndWhenToComeBackWhenItHoldsAllThatItMay) {
+// A refused client is told when to retry, so that it does not come back while the forwarder is still full.
+TEST_F(NodeTest, AnswersBusyWithRetryAfterAtTheLimitOfHeldMessages) {
     node.config()["settings"]["limits"]["most_held"] = 4;
     node.start_ready();
     Client client = node.client();
@@ -237,7 +239,7 @@
     EXPECT_GT(std::stoi(last.substr(6)), 0);
 }
 
-// Room on disk is finite: what cannot be kept is not owed.
+// A message that the journal has no space for is refused.
 TEST_F(NodeTest, AnswersBusyWhenTheJournalIsFull) {
     node.config()["limits"]["disk_mb"] = 0.3;
     node.start_ready();
@@ -252,7 +254,7 @@
 
 // ---- restarts ----
 
-TEST_F(NodeTest, DeliversAfterSigkillWhatItHeld) {
+TEST_F(NodeTest, AfterSigkillHeldMessagesAreDelivered) {
     node.config()["known"] = target_list(1, true, {});
     node.start_ready();
     {
@@ -271,7 +273,7 @@
     EXPECT_TRUE(target.no_request_within(300ms));
 }
 
-TEST_F(NodeTest, AfterSigkillAnUnsafeCallThatWasOutIsNotRepeated) {
+TEST_F(NodeTest, AfterSigkillAnUnsafeCallInProgressIsNotRetried) {
     node.start_ready();
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id, "unsafe"), "+OK");
@@ -283,7 +285,7 @@
     EXPECT_TRUE(target.no_request_within(300ms));
 }
 
-TEST_F(NodeTest, AfterSigkillAKeyedCallGoesAgainInsideItsWindow) {
+TEST_F(NodeTest, AfterSigkillAKeyedCallIsRetriedWithinItsWindow) {
     node.config()["settings"]["classes"][1]["window_ms"] = 20000;
     node.start_ready();
     Client client = node.client();
@@ -294,7 +296,7 @@
     node.start_ready();
     EXPECT_EQ(target.next().header("Idempotency-Key"), "5c0f6e1a2b3d4c59");
 }
-TEST_F(NodeTest, AfterSigkillAKeyedCallDoesNotGoAgainWhenItsWindowIsOver) {
+TEST_F(NodeTest, AfterSigkillAKeyedCallIsNotRetriedAfterItsWindow) {
     node.config()["settings"]["classes"][1]["window_ms"] = 100;
     node.start_ready();
     Client client = node.client();
@@ -302,8 +304,8 @@
     target.next();
     node.kill();
     node.wait();
-    std::this_thread::sleep_for(150ms);                            // the window is over
-    node.config()["settings"]["classes"][1]["window_ms"] = 20000;  // it was taken under the other
+    std::this_thread::sleep_for(150ms);                            // until the window is over
+    node.config()["settings"]["classes"][1]["window_ms"] = 20000;  // accepted under the old one
     node.start_ready();
     EXPECT_EQ(final_statuses(agent_request("/reports"))[0]["ref"], id);
     EXPECT_TRUE(target.no_request_within(300ms));
@@ -316,8 +318,8 @@
     ASSERT_EQ(enqueue(client, id), "+OK");
     target.next().answer(200);
     ASSERT_EQ(enqueue(client, "00000000000000aa"), "+OK");
-    const Exchange out = target.next();
-    EXPECT_EQ(out.header("X-Call-Id"), "00000000000000aa");  // so the first one's slot is free again
+    const Exchange second = target.next();
+    EXPECT_EQ(second.header("X-Call-Id"), "00000000000000aa");  // so the first call has freed its slot
     node.kill();
     node.wait();
     node.start_ready();
@@ -326,7 +328,7 @@
     EXPECT_TRUE(target.no_request_within(300ms));
 }
 
-TEST_F(NodeTest, AfterSigkillAnOverdueMessageGetsItsNoticeAtOnce) {
+TEST_F(NodeTest, AfterSigkillAMessagePastItsDeadlineIsReportedAtOnce) {
     node.start_ready();
     {
         Client client = node.client();
@@ -334,12 +336,12 @@
     }
     node.kill();
     node.wait();
-    std::this_thread::sleep_for(1100ms);  // its time runs out meanwhile
+    std::this_thread::sleep_for(1100ms);  // past its deadline
     node.start_ready();
     EXPECT_EQ(final_statuses(agent_request("/reports"))[0], (Json{{"ref", id}, {"result", "dead"}}));
 }
 
-TEST_F(NodeTest, RepeatsANoticeUntilItIsConfirmed) {
+TEST_F(NodeTest, RepeatsAReportUntilItIsConfirmed) {
     node.start_ready();
     {
         Client client = node.client();
@@ -359,7 +361,7 @@
     EXPECT_TRUE(Journal(node.state(), 1 << 20).entries().empty());
 }
 
-TEST_F(NodeTest, AfterSigtermHandsClientsOnAndDeliversWhatItHolds) {
+TEST_F(NodeTest, SigtermHandsClientsOverAndDeliversHeldMessages) {
     node.start_ready();
     Client idle = node.client();
     Client client = node.client();
@@ -367,7 +369,7 @@
     ASSERT_EQ(enqueue(client, id), "+OK");
     const Exchange call = target.next();
     node.terminate();
-    Client late = node.client();  // the front goes on dealing out connections for a moment
+    Client late = node.client();  // the load balancer still sends new connections for a moment
     EXPECT_EQ(enqueue(late, "00000000000000aa"), "+OK");
     EXPECT_TRUE(idle.ended());
     EXPECT_TRUE(late.ended());
@@ -378,16 +380,16 @@
     EXPECT_TRUE(node.refuses());
 }
 
-TEST_F(NodeTest, AfterSigtermEndsInTimeAndTakesUpTheRest) {
+TEST_F(NodeTest, SigtermEndsInTimeAndTheNextProcessDeliversTheRest) {
     node.config()["known"] = target_list(1, true, {});
     node.start_ready();
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id), "+OK");
-    const auto begun = Clock::now();
+    const auto started = Clock::now();
     node.terminate();
     const int status = node.wait();
     EXPECT_TRUE(WIFEXITED(status) && WEXITSTATUS(status) == 0) << status;
-    EXPECT_LT(Clock::now() - begun, 3700ms + kDeadline);
+    EXPECT_LT(Clock::now() - started, 3700ms + kDeadline);
     node.config()["known"] = target_list(1, true, {member("s-1", target.address(), 7)});
     node.start_ready();
     EXPECT_EQ(target.next().header("X-Call-Id"), id);
@@ -395,25 +397,25 @@
 
 // ---- discovery ----
 
-TEST_F(NodeTest, FollowsChangesOfTheList) {
-    HttpStub other;
-    node.start_ready();
-    const Exchange whole = agent_request("/v1/servers");
-    EXPECT_EQ(whole.request.target(), "/v1/servers");
-    respond_json(whole, target_list(5, true, {member("s-1", target.address(), 7)}));
-    const Exchange watch = agent_request("/v1/servers");
-    EXPECT_EQ(std::string(watch.request.target()).substr(0, 27), "/v1/servers?from=5&hold_ms=");
-    respond_json(watch, target_list(6, false,
-                            {member("s-1", target.address(), 7, "terminating"),
-                                member("s-2", other.address(), 7), {{"id", 5}}}));
+TEST_F(NodeTest, AppliesChangesOfTheTargetList) {
+    HttpStub second_target;
+    node.start_ready();
+    const Exchange full_list = agent_request("/v1/servers");
+    EXPECT_EQ(full_list.request.target(), "/v1/servers");
+    respond_json(full_list, target_list(5, true, {member("s-1", target.address(), 7)}));
+    const Exchange poll = agent_request("/v1/servers");
+    EXPECT_EQ(std::string(poll.request.target()).substr(0, 27), "/v1/servers?from=5&hold_ms=");
+    respond_json(poll, target_list(6, false,
+                           {member("s-1", target.address(), 7, "terminating"),
+                               member("s-2", second_target.address(), 7), {{"id", 5}}}));
     EXPECT_EQ(std::string(agent_request("/v1/servers").request.target()).substr(0, 18), "/v1/servers?from=6");
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id), "+OK");
-    EXPECT_EQ(other.next().header("X-Call-Id"), id);
+    EXPECT_EQ(second_target.next().header("X-Call-Id"), id);
     EXPECT_TRUE(target.no_request_within(200ms));
 }
 
-TEST_F(NodeTest, ReconnectsToDiscoveryThatIsSilentOrOdd) {
+TEST_F(NodeTest, RetriesDiscoveryAfterMissingOrInvalidAnswers) {
     node.start_ready();
     agent_request("/v1/servers");  // never answered
     agent_request("/v1/servers").hang_up();
@@ -421,31 +423,32 @@
     agent_request("/v1/servers").write("no HTTP at all\r\n\r\n");
     respond_json(agent_request("/v1/servers"), Json::array());
     respond_json(agent_request("/v1/servers"), target_list(2, false, {}));
-    EXPECT_EQ(agent_request("/v1/servers").request.target(), "/v1/servers");  // still wants the whole list
+    EXPECT_EQ(agent_request("/v1/servers").request.target(), "/v1/servers");  // still requests the full list
     Client client = node.client();
-    ASSERT_EQ(enqueue(client, id), "+OK");  // and goes on with the list that it has
+    ASSERT_EQ(enqueue(client, id), "+OK");  // and still uses the list that it has
     EXPECT_EQ(target.next().header("X-Call-Id"), id);
 }
 
-// ---- bad input ----
+// ---- invalid input ----
 
-// The module uses no notes so far; what comes in must do no harm all the same.
-TEST_F(NodeTest, LivesThroughOddDatagrams) {
+// Datagrams from the address of a peer that are no valid gossip must do no harm.
+TEST_F(NodeTest, IgnoresInvalidDatagramsFromPeers) {
     asio::io_context io;
     Udp::socket peer(io, {asio::ip::address_v4::loopback(), 0});
-    const Udp::endpoint listens = Udp::socket(io, {node.address().address(), 0}).local_endpoint();
-    node.config()["peer_listen"] = listens.address().to_string() + ":" + std::to_string(listens.port());
+    const Udp::endpoint peer_listen = Udp::socket(io, {node.address().address(), 0}).local_endpoint();
+    node.config()["peer_listen"] =
+        peer_listen.address().to_string() + ":" + std::to_string(peer_listen.port());
     node.config()["peers"] = {"127.0.0.1:" + std::to_string(peer.local_endpoint().port())};
     node.start_ready();
     for (const std::size_t size : {0, 1, 256, 257, 9000})
-        peer.send_to(asio::buffer(std::string(size, '\xff')), listens);
+        peer.send_to(asio::buffer(std::string(size, '\xff')), peer_listen);
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id), "+OK");
     target.next().answer(200);
     EXPECT_EQ(client.ask({"PING"}), "+PONG");
 }
 
-TEST_F(NodeTest, ClosesAnIdleConnectionForANewClientAtItsLimit) {
+TEST_F(NodeTest, ClosesAnIdleConnectionForANewClientAtTheConnectionLimit) {
     node.config()["limits"]["sockets"] = 64;
     node.start_ready();
     std::list<Client> clients;
@@ -456,7 +459,7 @@
     EXPECT_TRUE(clients.front().ended());
 }
 
-TEST_F(NodeTest, EndsABadStartWithOnePlainLine) {
+TEST_F(NodeTest, ReportsAnInvalidConfigurationInOneLogLine) {
     node.config()["settings"]["family_info"].erase("slots");
     node.start();
     const int status = node.wait();
--- a/tests/settings_reload_test.cpp
+++ b/tests/settings_reload_test.cpp
@@ -1,5 +1,6 @@
-// Settings taken over while the program runs: numbers that keep their meaning, terms that outlast the
-// process, and files that are refused whole.
+// Settings that change while the program runs: classes and tenants keep their numbers, messages keep the
+// class settings under which they were accepted, also over a restart, and invalid files are rejected as a
+// whole.
 #include "node_fixture.hpp"
 
 namespace lockgw {
@@ -14,22 +15,22 @@
     return {{"name", name}, {"effect", effect}, {"aim_ms", 4000}, {"hard_limit_ms", limit_ms},
         {"window_ms", 4000}, {"worth", 1}};
 }
-InForce of(const Json& params) {
+InForce settings_in_force(const Json& params) {
     const Names names = names_of(params);
     return {names, settings_of(params, names), names.tenants};
 }
-bool nobody(std::size_t) { return false; }
-bool everybody(std::size_t) { return true; }
+bool no_class_in_use(std::size_t) { return false; }
+bool all_classes_in_use(std::size_t) { return true; }
 
-TEST(TakenOver, KeepsTheNumbersOfWhatStaysAndGivesNewOnesToWhatChanges) {
-    const InForce before = of(settings_json());
+TEST(SettingsTakenOver, UnchangedClassesKeepTheirNumbersAndChangedOnesGetNewNumbers) {
+    const InForce before = settings_in_force(settings_json());
     Json fresh = settings_json();
     fresh["classes"] = {class_json("brand-new", "dedup"), class_json("safe", "retryable"),
         class_json("unsafe", "dedup")};  // "keyed" dropped, "unsafe" changed, in another order
-    const InForce after = taken_over(before, of(fresh), everybody);
+    const InForce after = taken_over(before, settings_in_force(fresh), all_classes_in_use);
     EXPECT_EQ(after.names.classes.at("safe"), before.names.classes.at("safe"));
     EXPECT_FALSE(after.names.classes.contains("keyed"));
-    for (const auto& [name, number] : before.names.classes)  // what is held means what it meant
+    for (const auto& [name, number] : before.names.classes)  // held messages keep their settings
         EXPECT_EQ(after.settings.classes[number], before.settings.classes[number]) << name;
     EXPECT_EQ(after.settings.classes[after.names.classes.at("unsafe")].effect, Effect::Dedup);
     EXPECT_EQ(after.settings.classes[after.names.classes.at("brand-new")].effect, Effect::Dedup);
@@ -37,61 +38,61 @@
     for (const auto& [name, number] : after.names.classes) EXPECT_TRUE(numbers.insert(number).second) << name;
 }
 
-TEST(TakenOver, NumbersThatNobodyBearsAreUsedAgain) {
-    InForce now = of(settings_json());
+TEST(SettingsTakenOver, UnusedClassNumbersAreReused) {
+    InForce current = settings_in_force(settings_json());
     for (int i = 0; i < 5000; ++i) {
         Json fresh = settings_json();
         fresh["classes"].push_back(class_json("extra", "retryable", 1000 + i));
-        now = taken_over(now, of(fresh), nobody);
+        current = taken_over(current, settings_in_force(fresh), no_class_in_use);
     }
-    EXPECT_LE(now.settings.classes.size(), 8u);
-    EXPECT_EQ(now.settings.classes[now.names.classes.at("extra")].deadline, from_ms(1000 + 4999));
+    EXPECT_LE(current.settings.classes.size(), 8u);
+    EXPECT_EQ(current.settings.classes[current.names.classes.at("extra")].deadline, from_ms(1000 + 4999));
 }
 
-TEST(TakenOver, DroppedTenantsAreUnknownAndKeepTheirNumbers) {
+TEST(SettingsTakenOver, DroppedTenantsAreUnknownAndKeepTheirNumbers) {
     Json first = settings_json(), second = settings_json();
     first["tenants"] = {{{"name", "a"}, {"quota_per_s", 1.0}}, {{"name", "b"}, {"quota_per_s", 2.0}}};
     second["tenants"] = {{{"name", "c"}, {"quota_per_s", 3.0}}, {{"name", "b"}, {"quota_per_s", 4.0}}};
-    const InForce after = taken_over(of(first), of(second), everybody);
+    const InForce after = taken_over(settings_in_force(first), settings_in_force(second), all_classes_in_use);
     EXPECT_EQ(after.names.tenants.size(), 2u);
     EXPECT_EQ(after.names.tenants.at("b"), 1u);
     EXPECT_EQ(after.settings.tenants[1].quota_per_s, 4.0);
-    EXPECT_EQ(after.settings.tenants[0].quota_per_s, 1.0) << "what is held of a";
+    EXPECT_EQ(after.settings.tenants[0].quota_per_s, 1.0) << "held messages of tenant a";
     EXPECT_EQ(after.settings.tenants[after.names.tenants.at("c")].quota_per_s, 3.0);
 }
 
-TEST(Settings, WhatIsNoPositiveNumberIsRefusedWithItsPlace) {
-    const auto refused = [](const char* pointer, const Json& value) -> std::string {
+TEST(Settings, InvalidNumbersAreRejectedWithTheirPosition) {
+    const auto error_for = [](const char* pointer, const Json& value) -> std::string {
         Json params = settings_json();
         params[Json::json_pointer(pointer)] = value;
         try {
-            of(params);
-        } catch (const std::exception& bad) {
-            return bad.what();
+            settings_in_force(params);
+        } catch (const std::exception& error) {
+            return error.what();
         }
         return "";
     };
-    for (const Json& bad :
+    for (const Json& value :
         {Json(0), Json(-1), Json("12"), Json(nullptr), Json(2.5), Json(1e300), Json::array()}) {
-        EXPECT_NE(refused("/limits/max_attempts", bad), "") << bad;
-        EXPECT_NE(refused("/limits/most_held", bad), "") << bad;
+        EXPECT_NE(error_for("/limits/max_attempts", value), "") << value;
+        EXPECT_NE(error_for("/limits/most_held", value), "") << value;
     }
-    for (const Json& bad : {Json(0), Json(-5), Json("12"), Json(nullptr), Json(1e300)})
-        EXPECT_NE(refused("/classes/1/hard_limit_ms", bad).find("keyed"), std::string::npos) << bad;
-    EXPECT_NE(refused("/classes/1/name", "safe"), "") << "twice the same name";
-    EXPECT_EQ(refused("/limits/max_attempts", 3), "");
+    for (const Json& value : {Json(0), Json(-5), Json("12"), Json(nullptr), Json(1e300)})
+        EXPECT_NE(error_for("/classes/1/hard_limit_ms", value).find("keyed"), std::string::npos) << value;
+    EXPECT_NE(error_for("/classes/1/name", "safe"), "") << "the same name twice";
+    EXPECT_EQ(error_for("/limits/max_attempts", 3), "");
 }
 
-TEST(Settings, ShapeNamesWhatAllClassesHave) {
+TEST(Settings, ShapeListsFieldsThatAllClassesHave) {
     Json params = settings_json();
-    const auto whole = shape_of(params);
-    EXPECT_TRUE(whole.contains("limits.max_attempts"));
-    EXPECT_TRUE(whole.contains("classes[].worth"));
+    const auto complete = shape_of(params);
+    EXPECT_TRUE(complete.contains("limits.max_attempts"));
+    EXPECT_TRUE(complete.contains("classes[].worth"));
     params["classes"][1].erase("worth");
     params["limits"].erase("cancel");
-    const auto less = shape_of(params);
-    EXPECT_FALSE(less.contains("classes[].worth"));
-    EXPECT_FALSE(less.contains("limits.cancel"));
+    const auto reduced = shape_of(params);
+    EXPECT_FALSE(reduced.contains("classes[].worth"));
+    EXPECT_FALSE(reduced.contains("limits.cancel"));
 }
 
 Message message_of_class(MessageId id, std::shared_ptr<const ClassSettings> terms) {
@@ -108,7 +109,7 @@
     return std::make_shared<const ClassSettings>(terms);
 }
 
-TEST(JournalTerms, OutlastTheProcessAndCompactions) {
+TEST(JournalClassSettings, SurviveRestartsAndCompactions) {
     TemporaryFolder folder;
     for (int round = 0; round < 3; ++round) {
         Journal journal(folder.path(), 1 << 20);
@@ -129,20 +130,20 @@
     EXPECT_EQ(journal.entries().size(), 30u);
 }
 
-class RetuneTest : public NodeTest {
+class SettingsReloadTest : public NodeTest {
 protected:
-    RetuneTest() { node.config()["settings"]["limits"]["max_attempts"] = 3; }
+    SettingsReloadTest() { node.config()["settings"]["limits"]["max_attempts"] = 3; }
     void reload(const Json& config) {
         const std::string before = node.log();
         node.reload(config.dump());
         const auto until = Clock::now() + kDeadline;
-        const auto told = [&](const char* line) {  // other lines come at any time
+        const auto logged = [&](const char* line) {  // other lines may be logged meanwhile
             return node.log().find(line, before.size()) != std::string::npos;
         };
-        while (!told("configuration read anew") && !told("configuration stays") && Clock::now() < until)
+        while (!logged("configuration read anew") && !logged("configuration stays") && Clock::now() < until)
             std::this_thread::sleep_for(5ms);
     }
-    Json without(const char* name) {
+    Json without_class(const char* name) {
         Json config = node.config();
         Json& classes = config["settings"]["classes"];
         for (std::size_t i = 0; i < classes.size(); ++i)
@@ -151,15 +152,15 @@
     }
 };
 
-TEST_F(RetuneTest, ClassesComeAndGoWithTheirNamesAndRules) {
+TEST_F(SettingsReloadTest, ClassesAreAddedAndRemovedWithTheirSettings) {
     node.start_ready();
     Client client = node.client();
     EXPECT_TRUE(enqueue(client, id, "express").starts_with("-ERR"));
-    Json more = without("unsafe");
-    more["settings"]["classes"].push_back(class_json("express", "fragile"));
-    reload(more);
+    Json changed = without_class("unsafe");
+    changed["settings"]["classes"].push_back(class_json("express", "fragile"));
+    reload(changed);
     EXPECT_EQ(enqueue(client, id, "express"), "+OK");
-    target.next().answer(500);  // fragile: it may have run, and ends dead at once
+    target.next().answer(500);  // fragile: it may have run, and is reported dead at once
     EXPECT_EQ(final_statuses(agent_request("/reports"))[0]["result"], "dead");
     EXPECT_TRUE(enqueue(client, "00000000000000aa", "unsafe").starts_with("-ERR unknown class unsafe"));
     reload(node.config());
@@ -167,69 +168,70 @@
     EXPECT_EQ(enqueue(client, "00000000000000ac", "unsafe"), "+OK");
 }
 
-// Open messages keep the terms under which they were taken, also over SIGKILL: "safe" may be repeated, the
-// class that takes its name may not, and it is gone altogether at the restart.
-TEST_F(RetuneTest, OpenMessagesKeepTheirTerms) {
+// Held messages keep the class settings under which they were accepted, also over SIGKILL. Here "safe" may be
+// retried. The class that replaces it under the same name may not, and at the restart no class of this name
+// is left.
+TEST_F(SettingsReloadTest, HeldMessagesKeepTheirClassSettings) {
     node.start_ready();
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id, "safe"), "+OK");
     Exchange first = target.next();
-    Json other = without("safe");
-    other["settings"]["classes"].push_back(class_json("safe", "fragile"));
-    other["settings"]["limits"]["max_attempts"] = 1;
-    reload(other);
+    Json replaced = without_class("safe");
+    replaced["settings"]["classes"].push_back(class_json("safe", "fragile"));
+    replaced["settings"]["limits"]["max_attempts"] = 1;
+    reload(replaced);
     ASSERT_EQ(enqueue(client, "00000000000000aa", "safe"), "+OK");
-    Exchange fresh = target.next();
-    EXPECT_EQ(fresh.header("X-Call-Id"), "00000000000000aa");
-    fresh.answer(500);  // of the new class: it may have run
+    Exchange of_new_class = target.next();
+    EXPECT_EQ(of_new_class.header("X-Call-Id"), "00000000000000aa");
+    of_new_class.answer(500);  // fragile: it may have run
     const Exchange report = agent_request("/reports");
     EXPECT_EQ(final_statuses(report)[0]["ref"], "00000000000000aa");
     report.answer(204);
     first.answer(500);
-    Exchange second = target.next();  // repeated all the same
+    Exchange second = target.next();  // retried under the old settings
     EXPECT_EQ(second.header("X-Call-Id"), id);
     node.kill(), node.wait();
-    node.config() = without("safe");
+    node.config() = without_class("safe");
     node.start_ready();
-    Exchange third = target.next();  // of three attempts, the last
+    Exchange third = target.next();  // the last of three attempts
     EXPECT_EQ(third.header("X-Call-Id"), id);
     third.answer(200);
     EXPECT_TRUE(no_report_within(300ms));
 }
 
-TEST_F(RetuneTest, NothingIsTakenOfABrokenFile) {
+TEST_F(SettingsReloadTest, AnInvalidFileChangesNothing) {
     node.start_ready();
     Json base = node.config();
     base["discovery"] = "127.0.0.1:9";
     base["settings"]["classes"].push_back(class_json("express", "fragile"));
-    std::vector<std::string> broken{"", "{", base.dump().substr(0, base.dump().size() / 2), "{}"};
-    const auto with = [&](const char* pointer, const Json& value) {
-        Json bad = base;
-        bad[Json::json_pointer(pointer)] = value;
-        broken.push_back(bad.dump());
+    std::vector<std::string> invalid_files{"", "{", base.dump().substr(0, base.dump().size() / 2), "{}"};
+    const auto add_with = [&](const char* pointer, const Json& value) {
+        Json json = base;
+        json[Json::json_pointer(pointer)] = value;
+        invalid_files.push_back(json.dump());
     };
-    const auto lacking = [&](const char* pointer, const char* key) {
-        Json bad = base;
-        bad[Json::json_pointer(pointer)].erase(key);
-        broken.push_back(bad.dump());
+    const auto add_without = [&](const char* pointer, const char* key) {
+        Json json = base;
+        json[Json::json_pointer(pointer)].erase(key);
+        invalid_files.push_back(json.dump());
     };
-    with("/settings/limits/max_attempts", 0), with("/settings/limits/max_attempts", -3);
-    with("/settings/classes/3/hard_limit_ms", 0), with("/settings/classes/3/hard_limit_ms", "soon");
-    with("/settings/classes/3/hard_limit_ms", -1), with("/settings/limits/max_attempts", "many");
-    lacking("", "settings"), lacking("/settings", "classes"), lacking("/settings", "limits");
-    lacking("/settings/limits", "max_attempts"), lacking("/settings/limits", "cancel");
-    lacking("/settings/classes/3", "worth"), lacking("/settings/classes/3", "effect");
-    lacking("/settings/classes/3", "hard_limit_ms"), lacking("/settings/contract", "fall_ms");
+    add_with("/settings/limits/max_attempts", 0), add_with("/settings/limits/max_attempts", -3);
+    add_with("/settings/classes/3/hard_limit_ms", 0), add_with("/settings/classes/3/hard_limit_ms", "soon");
+    add_with("/settings/classes/3/hard_limit_ms", -1), add_with("/settings/limits/max_attempts", "many");
+    add_without("", "settings"), add_without("/settings", "classes"), add_without("/settings", "limits");
+    add_without("/settings/limits", "max_attempts"), add_without("/settings/limits", "cancel");
+    add_without("/settings/classes/3", "worth"), add_without("/settings/classes/3", "effect");
+    add_without("/settings/classes/3", "hard_limit_ms"), add_without("/settings/contract", "fall_ms");
     Client client = node.client();
-    for (const std::string& bad : broken) {
+    for (const std::string& file : invalid_files) {
         const std::string before = node.log();
-        node.reload(bad);
-        const auto said = [&] { return node.log().substr(before.size()); };
+        node.reload(file);
+        const auto new_log = [&] { return node.log().substr(before.size()); };
         const auto until = Clock::now() + kDeadline;
-        while (said().find('\n') == std::string::npos && Clock::now() < until)
+        while (new_log().find('\n') == std::string::npos && Clock::now() < until)
             std::this_thread::sleep_for(5ms);
-        EXPECT_NE(said().find("the old configuration stays"), std::string::npos) << bad << said();
-        EXPECT_TRUE(enqueue(client, id, "express").starts_with("-ERR unknown class")) << bad;
+        EXPECT_NE(new_log().find("the old configuration stays"), std::string::npos) << file << new_log();
+        EXPECT_TRUE(enqueue(client, id, "express").starts_with("-ERR unknown class")) << file;
     }
     ASSERT_EQ(enqueue(client, id), "+OK");
     EXPECT_EQ(target.next().header("X-Call-Id"), id);
