--- a/src/core/forwarder.cpp
+++ b/src/core/forwarder.cpp
@@ -81,7 +81,7 @@
               stop_if_done();
           }),
       cluster_(
-          io, config_, [this](const TierWatch::Standing& standing) { apply_cluster_view(standing); },
+          io, config_, [this](const TierWatch::Standing& view) { apply_cluster_view(view); },
           [this](const PeerNote& note) { observe(note); }),
       recovery_(
           io, {config_, sender_, journal_, directory_, cluster_},
--- a/src/core/forwarder.hpp
+++ b/src/core/forwarder.hpp
@@ -10,8 +10,9 @@
 ///  4. replies to the clients whose messages were submitted in this turn,
 ///  5. carries out the actions: starts and cancels calls, reports final statuses, sets the timer.
 /// So a client hears "accepted" only after its message is recorded, and a call begins only after its attempt
-/// is recorded and its client has been answered. If the write fails, nothing that depends on it happens: the
-/// submitted messages are refused as busy and no attempt begins.
+/// is recorded and its client has been answered. If the write fails, nothing that depends on it happens: no
+/// attempt begins, and the submitted messages are refused as busy, unless the journal was compacted within
+/// the turn and its file holds them already.
 ///
 /// The implementation is split by topic: forwarder.cpp (turns, intake, drain), forwarder_recovery.cpp (taking
 /// up the journal after a restart), forwarder_handover_orders_reload.cpp (changes while it runs),
