--- a/lab/ways.cpp
+++ b/lab/ways.cpp
@@ -9,7 +9,7 @@
 #include <numeric>
 #include <random>
 
-#include "base/mix.hpp"
+#include "base/splitmix64.hpp"
 #include "base/units.hpp"
 #include "lab/schedule.hpp"
 #include "spread/planner.hpp"
@@ -173,7 +173,9 @@
             return *std::min_element(one.list.begin(), one.list.end(),
                 [&](std::size_t a, std::size_t b) { return cost(a) < cost(b); });
         };
-        const auto order = [&](std::size_t target) { return mixed(mixed(i + 1) ^ mixed(target + 1)); };
+        const auto order = [&](std::size_t target) {
+            return splitmix64(splitmix64(i + 1) ^ splitmix64(target + 1));
+        };
         const auto busy = [&](std::size_t target) {
             Side& side = one.sides[target];
             std::erase_if(side.idle, [this](double until) { return until <= schedule_.now(); });
@@ -221,7 +223,8 @@
         else
             side.idle.pop_back();
         ++side.out, ++calls_[target];
-        trace_ = mixed(trace_ ^ mixed(target + 1) ^ static_cast<std::uint64_t>(schedule_.now() * 1e6));
+        trace_ =
+            splitmix64(trace_ ^ splitmix64(target + 1) ^ static_cast<std::uint64_t>(schedule_.now() * 1e6));
         if (const auto second = static_cast<std::size_t>(schedule_.now()); second < load_[target].size())
             ++load_[target][second];
         const double takes = is_.service_s * (is_.slow == target ? is_.slow_times : 1.0);
--- a/src/base/checked_settings.hpp
+++ b/src/base/checked_settings.hpp
@@ -1,11 +1,12 @@
-/// Settings that make sense, or an error that names the one that does not.
+/// Validation of the decision module's settings.
 #pragma once
 
 #include "cometspoke/sender.hpp"
 
 namespace cometspoke {
 
-/// Throws std::invalid_argument.
+/// Returns the settings with defaults filled in: classes without max_attempts take that of Settings, and at
+/// least one kind exists. Throws std::invalid_argument that names the first invalid setting.
 Settings checked(Settings settings);
 
 }  // namespace cometspoke
--- a/src/base/clocks.hpp
+++ b/src/base/clocks.hpp
@@ -1,7 +1,7 @@
-/// A moment on the clocks that go on while a process is down, and what lies between two of them.
+/// Times that stay comparable across a restart of the process, and the difference between two of them.
 ///
-/// The steady clock cannot be set, but begins anew with the machine; the wall clock goes on, but can be set.
-/// No I/O: moments are the caller's.
+/// The steady clock cannot be set, but starts anew when the machine boots; the wall clock continues, but can
+/// be set. No I/O: the caller supplies the times.
 #pragma once
 
 #include <chrono>
@@ -13,34 +13,34 @@
 struct Moment {
     std::chrono::microseconds steady{0};
     std::chrono::microseconds wall{0};  ///< since 1970
-    std::uint64_t boot = 0;             ///< the same while the machine runs; 0: not known
+    std::uint64_t boot_id = 0;          ///< constant from one boot of the machine to the next; 0: unknown
     bool operator==(const Moment&) const = default;
 };
 
-/// So much later, on both clocks.
+/// Adds `span` to both clocks.
 inline Moment operator+(Moment moment, std::chrono::microseconds span) {
     moment.steady += span;
     moment.wall += span;
     return moment;
 }
 
-/// Whether the steady clock can tell what lies between the two.
-inline bool same_boot(const Moment& one, const Moment& other) {
-    return one.boot != 0 && one.boot == other.boot;
+/// Returns whether both times are from the same boot, so that their steady clocks are comparable.
+inline bool same_boot(const Moment& first, const Moment& second) {
+    return first.boot_id != 0 && first.boot_id == second.boot_id;
 }
 
-/// From `then` to `now`: by the steady clock where the machine has run on, so that a step of the wall clock
-/// says nothing; by the wall clock else. None where `then` lies in the future of both: nobody knows how long
-/// it is ago.
+/// Returns the time from `then` to `now`. Within one boot the steady clock decides, so that a step of the
+/// wall clock has no effect; otherwise the wall clock does. None if `then` is in the future of both clocks:
+/// the time that has passed is unknown.
 inline std::optional<std::chrono::microseconds> elapsed(const Moment& then, const Moment& now) {
     if (same_boot(then, now) && then.steady <= now.steady) return now.steady - then.steady;
     if (then.wall <= now.wall) return now.wall - then.wall;
     return std::nullopt;
 }
 
-/// From `now` to `later`, which may be past (negative): by the steady clock where the machine has run on, by
-/// the wall clock else.
-inline std::chrono::microseconds until(const Moment& later, const Moment& now) {
+/// Returns the time from `now` to `later`, negative if `later` has passed: by the steady clock within one
+/// boot, by the wall clock otherwise.
+inline std::chrono::microseconds time_until(const Moment& later, const Moment& now) {
     return same_boot(later, now) ? later.steady - now.steady : later.wall - now.wall;
 }
 
--- a/src/base/condition.hpp
+++ b/src/base/condition.hpp
@@ -1,4 +1,4 @@
-/// A target's condition in words, as the platform's protocol and the operator's file have them.
+/// Text form of a target's condition, as in the discovery protocol and in the operator's file.
 #pragma once
 
 #include "cometspoke/sender.hpp"
--- /dev/null
+++ b/src/base/final_status.hpp
@@ -0,0 +1,13 @@
+/// Final status of a message that was accepted and not delivered.
+#pragma once
+
+#include <chrono>
+
+namespace lockgw {
+
+struct FinalStatus {
+    bool refused = false;  ///< the client may send it again; otherwise it failed ("dead")
+    std::chrono::milliseconds retry_after{0};
+};
+
+}  // namespace lockgw
--- a/src/base/spare_descriptor.hpp
+++ b/src/base/spare_descriptor.hpp
@@ -1,7 +1,8 @@
-/// A descriptor kept for nothing, to be given back where one is needed at once and none is left.
+/// A file descriptor held in reserve, to be released when one is needed and the process has none left.
 ///
-/// Descriptors may run out at any instant: others of this machine hold them, or the limit is lowered while
-/// the process runs. What must not starve then (the journal, discovery) keeps one of these. Threads: one.
+/// Descriptors can run out at any time: other processes of the machine use them, or the limit is lowered
+/// while the process runs. Components that must keep working then (the journal, discovery) hold a spare one.
+/// Not thread-safe.
 #pragma once
 
 #include <fcntl.h>
@@ -12,25 +13,26 @@
 
 namespace lockgw {
 
-/// errno's or an error_code's word that there is no descriptor to be had.
-inline bool out_of_descriptors(int why) { return why == EMFILE || why == ENFILE; }
+/// Returns whether an errno or the value of an error_code means that no descriptor is available.
+inline bool out_of_descriptors(int error) { return error == EMFILE || error == ENFILE; }
 
 class SpareDescriptor {
 public:
-    SpareDescriptor() { take(); }
+    SpareDescriptor() { acquire(); }
     SpareDescriptor(const SpareDescriptor&) = delete;
     SpareDescriptor& operator=(const SpareDescriptor&) = delete;
-    ~SpareDescriptor() { give_back(); }
+    ~SpareDescriptor() { release(); }
 
-    /// Frees it for the caller's next open; false where there was none.
-    bool give_back() {
+    /// Closes the spare descriptor, so that the caller's next open() can use it. Returns false if there was
+    /// none.
+    bool release() {
         if (fd_ < 0) return false;
         ::close(std::exchange(fd_, -1));
         return true;
     }
     bool held() const { return fd_ >= 0; }
-    /// Keeps one again, where one is to be had.
-    void take() {
+    /// Opens a spare descriptor unless one is held. Has no effect if none is available.
+    void acquire() {
         if (fd_ < 0) fd_ = ::open("/dev/null", O_RDONLY | O_CLOEXEC);
     }
 
--- a/src/base/units.hpp
+++ b/src/base/units.hpp
@@ -1,4 +1,4 @@
-/// Spans of the decision module in seconds and back.
+/// Conversions between the decision module's time type and seconds.
 #pragma once
 
 #include <algorithm>
@@ -9,9 +9,11 @@
 namespace cometspoke {
 
 inline double seconds(Time time) { return static_cast<double>(time.count()) / 1e6; }
+/// Values above one million seconds are reduced to that.
 inline Time from_seconds(double value) {
     return Time(static_cast<Time::rep>(std::llround(std::min(value, 1e6) * 1e6)));
 }
-inline Time gap_of(double rate) { return rate > 0 ? from_seconds(1.0 / rate) : Time(0); }
+/// Returns the interval between two events at `rate` per second; 0 for a rate of 0 or below.
+inline Time interval_of(double rate) { return rate > 0 ? from_seconds(1.0 / rate) : Time(0); }
 
 }  // namespace cometspoke
--- a/src/capture/memory.cpp
+++ b/src/capture/memory.cpp
@@ -13,38 +13,43 @@
 
 template <class Archive>
 void describe(Archive& a, Route& r) {
-    a(r.wait_until)(r.limit_tag)(r.known)(r.gain)(r.refusals)(r.left)(r.paced_from)(r.paced_by)(r.heard);
+    a(r.wait_until)(r.limit_tag)(r.known_limit)(r.share_factor)(r.limit_reductions)(r.reported_remaining)(
+        r.limit_tag_base)(r.limit_tag_intervals)(r.reported_limit);
     a(r.sharers);
 }
 template <class Archive>
 void describe(Archive& a, Endpoint& e) {
-    a(e.destination)(e.zone)(e.kind)(e.condition)(e.own)(e.in_flight)(e.idle)(e.used)(e.heard)(e.often);
-    a(e.named)(e.health)(e.failure_seen)(e.failing)(e.refused_row)(e.last_good)(e.refused_at)(e.lost_at);
-    a(e.unconnected_at)(e.fell)(e.knowing)(e.returned)(e.cold_tag);
-    a(e.weight)(e.turn)(e.known_as);
+    a(e.destination)(e.zone)(e.kind)(e.condition)(e.own_route)(e.in_flight)(e.idle_expiries)(e.last_call_at)(
+        e.last_outcome_at)(e.frequently_called);
+    a(e.is_counted)(e.health)(e.failure_seen)(e.failure_rate)(e.consecutive_refusals)(e.last_success_at)(
+        e.last_refusal_at)(e.connection_lost_at);
+    a(e.connect_failed_at)(e.unhealthy_since)(e.aware_share)(e.recovery_start)(e.recovery_tag);
+    a(e.weight)(e.virtual_finish)(e.known_as);
 }
 template <class Archive>
 void describe(Archive& a, Destination& d) {
-    a(d.shared)(d.endpoints)(d.held)(d.held_of)(d.ready)(d.named)(d.parked)(d.weight)(d.reservation_tag);
-    a(d.share_tag)(d.in_flight)(d.usual)(d.asked)(d.asked_at)(d.served_rate)(d.last_served);
-    a(d.spread)(d.turn)(d.told)(d.spill_tag);
+    a(d.shared_route)(d.endpoints)(d.held)(d.held_by_class)(d.ready)(d.endpoint_count)(d.parked)(d.weight)(
+        d.reservation_tag);
+    a(d.share_tag)(d.in_flight)(d.typical_latency_s)(d.message_rate)(d.last_message_at)(d.served_rate)(
+        d.last_served);
+    a(d.subsetted)(d.virtual_time)(d.newest_endpoint_limit)(d.spillover_tag);
 }
 template <class Archive>
 void describe(Archive& a, Message& m) {
-    a(m.message_class)(m.destination)(m.arrival)(m.key)(m.born)(m.deadline)(m.not_before)(m.over_share);
-    a(m.attempts)(m.route)(m.out)(m.doubt_since)(m.doubt_at)(m.ready);
+    a(m.message_class)(m.destination)(m.arrival)(m.key)(m.created_at)(m.deadline)(m.not_before)(m.over_quota);
+    a(m.attempts)(m.route)(m.open_attempts)(m.doubt_since)(m.doubt_endpoint)(m.in_ready_queue);
 }
 template <class Archive>
 void describe(Archive& a, Call& c) {
-    a(c.endpoint)(c.sent)(c.out)(c.judged)(c.overtaken);
+    a(c.endpoint)(c.sent_at)(c.open_attempts)(c.health_counted)(c.overtaken);
 }
 template <class Archive>
 void describe(Archive& a, Attempt& t) {
-    a(t.call)(t.key)(t.dropped);
+    a(t.call)(t.key)(t.cancelled);
 }
 template <class Archive>
-void describe(Archive& a, KeyLine& k) {
-    a(k.turn)(k.out)(k.rest_until)(k.rest_for);
+void describe(Archive& a, KeyQueue& k) {
+    a(k.waiting)(k.open_attempts)(k.paused_until)(k.pause_exempt);
 }
 
 /// What is neither set by the settings nor found anew. Actions are empty between decisions.
@@ -64,11 +69,11 @@
 
 template <class Archive, class Key, class When>
 void describe(Archive& a, DueQueue<Key, When>& queue) {
-    queue.members(a);
+    queue.serialize(a);
 }
-template <class Archive, class Group, class Item, class Birth>
-void describe(Archive& a, Lines<Group, Item, Birth>& lines) {
-    lines.members(a);
+template <class Archive, class Group, class Item, class Creation>
+void describe(Archive& a, GroupedQueue<Group, Item, Creation>& lines) {
+    lines.serialize(a);
 }
 namespace rate_limits {
 template <class Archive>
@@ -82,8 +87,8 @@
 }
 }  // namespace rate_limits
 template <class Archive, class Line>
-auto describe(Archive& a, Line& line) -> decltype(line.by_arrival, line.by_birth, void()) {
-    a(line.by_arrival)(line.by_birth);
+auto describe(Archive& a, Line& line) -> decltype(line.by_arrival, line.by_creation, void()) {
+    a(line.by_arrival)(line.by_creation);
 }
 
 }  // namespace lockgw
@@ -92,10 +97,12 @@
 namespace {
 
 using cometspoke::DestinationId;
-using cometspoke::policy::Order;
+using cometspoke::policy::SchedulingOrder;
 using cometspoke::policy::State;
 
-std::array<Order*, 3> orders_of(State& state) { return {&state.well_, &state.sick_idle_, &state.sick_busy_}; }
+std::array<SchedulingOrder*, 3> orders_of(State& state) {
+    return {&state.well_, &state.sick_idle_, &state.sick_busy_};
+}
 
 /// The orders in which destinations stand, by their numbers.
 std::map<DestinationId, int> placed(State& state) {
@@ -103,7 +110,7 @@
     const auto orders = orders_of(state);
     for (const auto& [id, destination] : state.destinations_)
         for (std::size_t i = 0; i < orders.size(); ++i)
-            if (destination.order == orders[i]) all[id] = static_cast<int>(i);
+            if (destination.scheduling_order == orders[i]) all[id] = static_cast<int>(i);
     return all;
 }
 
@@ -112,12 +119,12 @@
     const auto orders = orders_of(state);
     for (auto& [id, destination] : state.destinations_) {
         const auto place = places.find(id);
-        destination.order =
+        destination.scheduling_order =
             place == places.end() ? nullptr : orders.at(static_cast<std::size_t>(place->second));
     }
     for (auto& [id, endpoint] : state.endpoints_)
-        endpoint.home = &state.destinations_.at(endpoint.destination);
-    for (auto& [id, call] : state.calls_) call.at = &state.endpoints_.at(call.endpoint);
+        endpoint.destination_record = &state.destinations_.at(endpoint.destination);
+    for (auto& [id, call] : state.calls_) call.endpoint_record = &state.endpoints_.at(call.endpoint);
     state.active_.clear();
     for (const DestinationId id : active) state.active_.emplace(id, &state.destinations_.at(id));
 }
--- a/src/capture/recorder.cpp
+++ b/src/capture/recorder.cpp
@@ -43,7 +43,7 @@
 std::set<cometspoke::EndpointId> ailing(cometspoke::policy::State& state) {
     std::set<cometspoke::EndpointId> all;
     for (const auto& [id, endpoint] : state.endpoints_)
-        if (endpoint.health != Health::Well) all.insert(id);
+        if (endpoint.health != Health::Healthy) all.insert(id);
     return all;
 }
 
--- a/src/capture/story.cpp
+++ b/src/capture/story.cpp
@@ -55,7 +55,7 @@
     return "?";
 }
 const char* word_of(Health health) {
-    return health == Health::Well ? "well" : health == Health::Sick ? "sick" : "returning";
+    return health == Health::Healthy ? "well" : health == Health::Unhealthy ? "sick" : "returning";
 }
 const char* word_of(Condition condition) {
     return condition == Condition::Ready ? "ready" : condition == Condition::Draining ? "draining" : "gone";
@@ -206,7 +206,7 @@
     std::vector<std::string> all;
     if (endpoint.condition != Condition::Ready) all.push_back(word_of(endpoint.condition));
     if (route.wait_until > now) all.push_back("a told wait");
-    if (endpoint.health != Health::Well && endpoint.cold_tag > now)
+    if (endpoint.health != Health::Healthy && endpoint.recovery_tag > now)
         all.push_back(std::string(word_of(endpoint.health)) + ", no trial is due");
     if (route.limit_tag > now) all.push_back("its limit is used up for now");
     return all;
@@ -224,7 +224,7 @@
     const auto found = state.messages_.find(id);
     if (found == state.messages_.end()) return "";
     const policy::Message& message = found->second;
-    if (message.out > 0) return "it is out";
+    if (message.open_attempts > 0) return "it is out";
     std::vector<std::string> why;
     if (message.not_before > now) why.push_back("it rests after an attempt that failed");
     if (message.attempts >= state.terms(message).max_attempts) why.push_back("all its attempts are used up");
@@ -255,7 +255,7 @@
     policy::Endpoint& endpoint = found->second;
     const auto hindered = hindrances(state, id, now);
     std::string text = std::string(word_of(endpoint.condition)) + ", " + word_of(endpoint.health);
-    if (endpoint.health != Health::Well && endpoint.cold_tag <= now) text += ", a trial may go";
+    if (endpoint.health != Health::Healthy && endpoint.recovery_tag <= now) text += ", a trial may go";
     if (!hindered.empty()) text += "; nothing may go: " + joined(hindered);
     return text;
 }
--- a/src/capture/timeline.cpp
+++ b/src/capture/timeline.cpp
@@ -28,9 +28,9 @@
     const auto found = state.endpoints_.find(id);
     if (found == state.endpoints_.end()) return Band::Unknown;
     if (found->second.condition != Condition::Ready) return Band::Draining;
-    return found->second.health == Health::Well   ? Band::Well
-           : found->second.health == Health::Sick ? Band::Sick
-                                                  : Band::Returning;
+    return found->second.health == Health::Healthy     ? Band::Well
+           : found->second.health == Health::Unhealthy ? Band::Sick
+                                                       : Band::Returning;
 }
 
 /// What came in one column of an endpoint's row.
--- a/src/console/server.cpp
+++ b/src/console/server.cpp
@@ -55,7 +55,7 @@
         Server* owner = std::exchange(owner_, nullptr);
         if (owner == nullptr) return;
         owner->open_.remove(shared_from_this());
-        owner->spare_.take();
+        owner->spare_.acquire();
     }
 
 private:
@@ -176,7 +176,7 @@
         }
         boost::system::error_code failed;
         Tcp::socket socket = acceptor_.accept(failed);
-        if (failed && out_of_descriptors(failed.value()) && spare_.give_back()) {
+        if (failed && out_of_descriptors(failed.value()) && spare_.release()) {
             failed.clear();
             socket = acceptor_.accept(failed);
         }
--- a/src/containers/due_queue.hpp
+++ b/src/containers/due_queue.hpp
@@ -1,6 +1,7 @@
-/// Keys with a moment each: the earliest first, and any one changed or taken out by its key.
+/// Keys with a due time each: ordered by due time, and any key can be changed or removed.
 ///
-/// All calls take logarithmic time in the keys held, plus constant expected time. No clock, one thread.
+/// Every operation takes logarithmic time in the number of keys, plus expected constant time for the hash
+/// lookup. Does not read a clock. Not thread-safe.
 #pragma once
 
 #include <cstddef>
@@ -15,9 +16,10 @@
 template <class Key, class When>
 class DueQueue {
 public:
+    /// Inserts the key or changes its due time.
     void set(const Key& key, When when) {
-        const auto [found, fresh] = when_.try_emplace(key, when);
-        if (!fresh) {
+        const auto [found, inserted] = due_times_.try_emplace(key, when);
+        if (!inserted) {
             if (found->second == when) return;
             order_.erase({found->second, key});
             found->second = when;
@@ -25,44 +27,44 @@
         order_.insert({when, key});
     }
     void erase(const Key& key) {
-        const auto found = when_.find(key);
-        if (found == when_.end()) return;
+        const auto found = due_times_.find(key);
+        if (found == due_times_.end()) return;
         order_.erase({found->second, key});
-        when_.erase(found);
+        due_times_.erase(found);
     }
-    /// Room for so many keys, so that set() need not make it (in one go, for all of them).
-    void reserve(std::size_t keys) { when_.reserve(keys); }
+    /// Allocates hash buckets for `keys` keys now, so that set() does not rehash up to that number.
+    void reserve(std::size_t keys) { due_times_.reserve(keys); }
     bool empty() const { return order_.empty(); }
     std::size_t size() const { return order_.size(); }
-    /// The earliest moment; none where nothing is held.
+    /// Returns the earliest due time; none if the queue is empty.
     std::optional<When> next() const {
         return order_.empty() ? std::nullopt : std::optional(order_.begin()->first);
     }
-    /// Those due at `now` or before, the earliest first (of one moment, the least key first), `most` of them.
-    /// They stay.
-    std::vector<Key> due(When now, std::size_t most = static_cast<std::size_t>(-1)) const {
-        std::vector<Key> all;
-        for (auto place = order_.begin(); place != order_.end() && place->first <= now && all.size() < most;
-             ++place)
-            all.push_back(place->second);
-        return all;
+    /// Returns at most `max_count` keys that are due at `now`, ordered by due time and then by key. The keys
+    /// stay in the queue.
+    std::vector<Key> due(When now, std::size_t max_count = static_cast<std::size_t>(-1)) const {
+        std::vector<Key> keys;
+        for (auto entry = order_.begin();
+             entry != order_.end() && entry->first <= now && keys.size() < max_count; ++entry)
+            keys.push_back(entry->second);
+        return keys;
     }
-    /// The same, and they go.
+    /// Removes and returns all keys that are due at `now`, in the order of due().
     std::vector<Key> take_due(When now) {
-        std::vector<Key> all = due(now);
-        for (const Key& key : all) erase(key);
-        return all;
+        std::vector<Key> keys = due(now);
+        for (const Key& key : keys) erase(key);
+        return keys;
     }
 
-    /// For whoever keeps it elsewhere: an archive takes its members one by one.
+    /// Passes the members to `archive` for serialization.
     template <class Archive>
-    void members(Archive& archive) {
-        archive(order_)(when_);
+    void serialize(Archive& archive) {
+        archive(order_)(due_times_);
     }
 
 private:
     std::set<std::pair<When, Key>> order_;
-    std::unordered_map<Key, When> when_;
+    std::unordered_map<Key, When> due_times_;
 };
 
 }  // namespace lockgw
--- a/src/containers/recent_set.hpp
+++ b/src/containers/recent_set.hpp
@@ -1,8 +1,8 @@
-/// Keys that were added not long ago.
+/// A set of keys that expire a fixed time after they were added.
 ///
-/// For telling a repeat from something new within a short time. Bounded: of more than `most` keys the oldest
-/// are forgotten first. Times are the caller's and only advance. No I/O, no clock; one thread. Cost:
-/// constant.
+/// Used to recognize repeats within a short time. Its size is bounded: if it holds more than `capacity` keys,
+/// the oldest is removed. The caller supplies the times, which must not decrease. No I/O, no clock. Not
+/// thread-safe. Operations take amortized constant time.
 #pragma once
 
 #include <cstddef>
@@ -17,33 +17,33 @@
 public:
     using Span = decltype(Time{} - Time{});
 
-    /// `span`: how long a key is remembered.
-    RecentSet(Span span, std::size_t most) : span_(span), most_(most) {}
+    /// `lifetime`: how long a key is kept.
+    RecentSet(Span lifetime, std::size_t capacity) : lifetime_(lifetime), capacity_(capacity) {}
 
-    /// A key that is in it already stays for as long as it would have.
+    /// Adds a key. Adding a key that is already present does not extend its lifetime.
     void add(const Key& key, Time now) {
-        forget_old(now);
+        remove_expired(now);
         if (!keys_.insert(key).second) return;
         order_.emplace_back(now, key);
-        if (order_.size() > most_) forget_first();
+        if (order_.size() > capacity_) remove_oldest();
     }
     bool contains(const Key& key, Time now) {
-        forget_old(now);
+        remove_expired(now);
         return keys_.contains(key);
     }
     std::size_t size() const { return order_.size(); }
 
 private:
-    void forget_old(Time now) {
-        while (!order_.empty() && order_.front().first + span_ <= now) forget_first();
+    void remove_expired(Time now) {
+        while (!order_.empty() && order_.front().first + lifetime_ <= now) remove_oldest();
     }
-    void forget_first() {
+    void remove_oldest() {
         keys_.erase(order_.front().second);
         order_.pop_front();
     }
 
-    Span span_;
-    std::size_t most_;
+    Span lifetime_;
+    std::size_t capacity_;
     std::deque<std::pair<Time, Key>> order_;  // oldest first
     std::unordered_set<Key> keys_;
 };
--- a/src/core/forwarder.cpp
+++ b/src/core/forwarder.cpp
@@ -7,10 +7,10 @@
 #include <utility>
 
 #include "base/condition.hpp"
+#include "core/admission_limits.hpp"
 #include "core/clocks.hpp"
 #include "core/descriptors.hpp"
-#include "core/door_limits.hpp"
-#include "core/standing.hpp"
+#include "core/subset_parameters.hpp"
 #include "logging/log.hpp"
 
 namespace lockgw {
@@ -57,13 +57,13 @@
       tenants_(config_.names.tenants),
       known_(known_before(config_)),
       journal_(config_.state,
-          config_.disk_bytes - orders_room(config_.disk_bytes) - snapshot_room(config_.disk_bytes),
+          config_.disk_bytes - orders_room(config_.disk_bytes) - snapshot_budget(config_.disk_bytes),
           config_.settings.most_held),
       orders_(config_.state, orders_room(config_.disk_bytes)),
       sender_(config_.settings, config_.seed),
       captures_(io, config_, sender_, directory_),
       routes_(std::move(routes)),
-      planner_(standing_of(config_), config_.spread),
+      planner_(subset_parameters(config_), config_.spread),
       delivery_(protocols.delivery(
           io, config_, most_target_connections(config_),
           [this](const Call& call, const Tcp::endpoint& address) { return may_have(call, address); },
@@ -80,7 +80,7 @@
               stop_if_done();
           }),
       tier_(
-          io, config_, [this](const TierWatch::Standing& standing) { stand(standing); },
+          io, config_, [this](const ClusterMembership::Position& standing) { stand(standing); },
           [this](const PeerNote& note) { observe(note); }),
       recovery_(
           io, {config_, sender_, journal_, directory_, tier_},
@@ -104,7 +104,7 @@
     tier_.start();
     come_back(handed_over);
     work_.start();
-    away_ = work_.away();
+    away_ = work_.out_of_service();
     take_up(handed_over);
     discovery_.start();
     if (!orders_.now().in_service() || away_) service();
@@ -146,7 +146,8 @@
         entry.rate = target.rate;
         entry.known_as = spread::known_as(target.id);
         entry.condition = target.condition;
-        if (entry.condition == Condition::Ready && (orders_.now().out(target.id) || work_.out(target.id)))
+        if (entry.condition == Condition::Ready &&
+            (orders_.now().out(target.id) || work_.is_target_out(target.id)))
             entry.condition = Condition::Draining;  // by hand, or for work
         if (entry.condition == Condition::Ready) {
             delivery_->set_address(*endpoint, target.address);
@@ -165,7 +166,7 @@
     for (const std::string& id : update.restarted)  // connections to the process before it are dead
         if (const auto endpoint = directory_.find(id)) delivery_->close_idle(*endpoint);
     observe(event);
-    recovery_.listed();
+    recovery_.apply_list();
     if (!update.more) tell_routes();  // endpoints that they name may have got their numbers
 }
 
@@ -174,7 +175,7 @@
 bool Forwarder::may_have(const Call& call, const Tcp::endpoint& address) const {
     const std::string* name = directory_.name_of(call.endpoint);
     const auto gate = name == nullptr ? View::Gate::Gone
-                      : orders_.now().out(*name) || work_.out(*name)
+                      : orders_.now().out(*name) || work_.is_target_out(*name)
                           ? View::Gate::Draining
                           : discovery_.view().gate(*name, address, call.destination);
     const bool waits = sender_.wait_until(call.endpoint) > steady_now();
@@ -234,14 +235,14 @@
     const Entry* entry = journal_.find(event.message);
     if (entry != nullptr && !entry->notice) {
         if (event.wait > Time(0))  // before anything follows from it
-            recovery_.wait_told(event.endpoint, entry->message.destination, event.wait);
+            recovery_.record_retry_after(event.endpoint, entry->message.destination, event.wait);
         if (event.terminal)
             journal_.delivered(event.message), ended_.add(event.message, steady_now()),
-                recovery_.over(event.message, event.outcome == Outcome::Served);
+                recovery_.on_message_ended(event.message, event.outcome == Outcome::Served);
         else
             journal_.end_attempt(event.message, proves_never_ran(event.outcome));
     }
-    recovery_.outcome(event);
+    recovery_.on_outcome(event);
     if (event.outcome == Outcome::Served)
         if (const std::string* name = directory_.name_of(event.endpoint))
             planner_.answered(*name, event.rtt, steady_now());
@@ -323,11 +324,11 @@
     const std::uint32_t attempt = entry->attempts;
     return {target != nullptr && journal_.begin_attempt(send.message, *target, moment_now()), attempt};
 }
-Forwarder::Recorded Forwarder::record_end(MessageId id, const Notice& notice) {
+Forwarder::Recorded Forwarder::record_end(MessageId id, const FinalStatus& notice) {
     if (journal_.find(id) == nullptr) return {};  // its client has the answer itself
     journal_.end(id, notice);
     ended_.add(id, steady_now());
-    recovery_.over(id, false);
+    recovery_.on_message_ended(id, false);
     return {true, 0};
 }
 
@@ -393,7 +394,7 @@
 }
 void Forwarder::carry_out(const CloseIdle& close, const Recorded&) { delivery_->close_idle(close.endpoint); }
 void Forwarder::carry_out(const Forget& forget, const Recorded&) { directory_.forget(forget.endpoint); }
-void Forwarder::carry_out(const TellPeers& tell, const Recorded&) { tier_.tell(tell); }
+void Forwarder::carry_out(const TellPeers& tell, const Recorded&) { tier_.send_to_peers(tell); }
 void Forwarder::carry_out(const Log& line, const Recorded&) { log::info("module", line.text); }
 
 /// The module knows endpoints by their numbers.
@@ -447,7 +448,7 @@
             {"held", held.contains(number) ? held.at(number) : 0}, {"endpoints", std::move(endpoints)}});
     }
     return {{"name", config_.name}, {"draining", draining_}, {"in_service", orders_.now().in_service()},
-        {"away_for_work", work_.away()}, {"out_by_hand", orders_.now().all_out()},
+        {"away_for_work", work_.out_of_service()}, {"out_by_hand", orders_.now().all_out()},
         {"held", journal_.unended()}, {"unconfirmed_ends", journal_.entries().size() - journal_.unended()},
         {"calls_out", delivery_->calls()}, {"slots", config_.settings.slots},
         {"most_held", config_.settings.most_held}, {"longest_turn_ms", longest}, {"routes", routes_.size()},
@@ -455,7 +456,7 @@
         {"destinations", std::move(destinations)}};
 }
 
-void Forwarder::capture(const std::string& what, Captures::Told told) {
+void Forwarder::capture(const std::string& what, CaptureControl::Reply told) {
     if (what == "start")
         captures_.start(std::move(told));
     else if (what == "stop")
@@ -472,7 +473,7 @@
 void Forwarder::drain() {
     if (std::exchange(draining_, true)) return;
     tier_.leave(true);
-    recovery_.hurry();
+    recovery_.stop_pacing();
     open_turn();
     // What the last of them still hand in has a second to be delivered.
     const admission::HandOver plan(hand_over_limits(config_.door), config_.settings.n_instances - 1);
@@ -505,7 +506,7 @@
 }
 
 void Forwarder::stop() {
-    recovery_.save();
+    recovery_.save_snapshot();
     const auto longest = std::chrono::duration_cast<std::chrono::microseconds>(longest_turn_);
     log::info("core", "ends", {{"longest_turn_us", longest.count()}});
     io_.stop();
--- a/src/core/forwarder.hpp
+++ b/src/core/forwarder.hpp
@@ -8,12 +8,12 @@
 
 #include "config/config.hpp"
 #include "containers/recent_set.hpp"
-#include "core/captures.hpp"
+#include "core/capture_control.hpp"
+#include "core/cluster_membership.hpp"
 #include "core/delivery.hpp"
 #include "core/front.hpp"
+#include "core/maintenance.hpp"
 #include "core/recovery_coordinator.hpp"
-#include "core/tier.hpp"
-#include "core/work.hpp"
 #include "handover/knowledge.hpp"
 #include "handover/plan.hpp"
 #include "membership/directory.hpp"
@@ -62,9 +62,9 @@
     /// How it came back: what was believed, what is owed still, and when it was full.
     Json recovery_status() const { return recovery_.status(); }
     /// Machines that are taken out in order; docs/operators/work.md.
-    Work& work() { return work_; }
+    Maintenance& work() { return work_; }
     /// "start", "stop" or "keep"; `told` is called with the next decision, at once where it is none of them.
-    void capture(const std::string& what, Captures::Told told);
+    void capture(const std::string& what, CaptureControl::Reply told);
     /// What an operator orders: it is written down before it is a yes, and holds from then on.
     operations::Answer order(const operations::Order& order);
     /// Another process may take over whenever `wanted` says so: calls and clients are let go step by step,
@@ -96,7 +96,7 @@
     void share_terms();
     void tell_routes();
     void share_out(cometspoke::Time now);
-    void stand(const TierWatch::Standing& standing);
+    void stand(const ClusterMembership::Position& standing);
     void reroute_held();
     RouteId route_of(const Message& message) const;
     const std::string& kind_of(std::int64_t destination) const;
@@ -105,7 +105,7 @@
     std::optional<cometspoke::Time> began(const Target& target, bool put_back) const;
     void note_gone(const std::string& id);
     void keep_gone();
-    Work::Needs work_needs();
+    Maintenance::Callbacks work_needs();
     void look_for_work(work::Sight& sight);
     unsigned left_without(const work::Plan& plan, work::Machine machine);
     double used_part(cometspoke::DestinationId destination);
@@ -131,7 +131,7 @@
     void open_turn();
     Recorded record(const cometspoke::Action& action);
     Recorded record(const cometspoke::Send& send);
-    Recorded record_end(MessageId id, const Notice& notice);
+    Recorded record_end(MessageId id, const FinalStatus& notice);
     Replies take_on(const std::vector<cometspoke::Action>& actions);
     void take_back(
         Replies& replies, const std::vector<cometspoke::Action>& actions, std::vector<Recorded>& recorded);
@@ -154,7 +154,7 @@
     void carry_out(const cometspoke::Probe&, const Recorded&) {}      // not allowed on sockets
     void carry_out(const cometspoke::Watch&, const Recorded&) {}      // discovery is always watched
     void carry_out(const cometspoke::FetchList&, const Recorded&) {}  // and its whole list asked for first
-    void end(MessageId id, const Notice& notice);
+    void end(MessageId id, const FinalStatus& notice);
 
     asio::io_context& io_;
     Config config_;                        // as taken over by reloads
@@ -170,16 +170,16 @@
     std::function<void()> over_;
     cometspoke::Sender sender_;
     Directory directory_;
-    Captures captures_;
+    CaptureControl captures_;
     routes::Table routes_;
     routes::Members members_;  // as listed, by destination
     spread::Planner planner_;
     std::unique_ptr<Delivery> delivery_;
     Discovery discovery_;
-    TierWatch tier_;
-    std::optional<TierWatch::Standing> standing_;  // once it differs from what was told at the start
+    ClusterMembership tier_;
+    std::optional<ClusterMembership::Position> standing_;  // once it differs from what was told at the start
     RecoveryCoordinator recovery_;
-    Work work_;
+    Maintenance work_;
     bool away_ = false;                 // by work, as told to the front
     std::set<std::uint64_t> work_out_;  // targets, as told to the module
     std::map<std::string, cometspoke::Time> back_from_work_;
--- a/src/core/forwarder_changes.cpp
+++ b/src/core/forwarder_changes.cpp
@@ -175,7 +175,7 @@
     tenants_ = std::move(next.numbered_tenants);
     config_.connect_timeout = fresh.connect_timeout;
     config_.reports = fresh.reports;
-    if (standing_) config_.settings.n_instances = standing_->parts;
+    if (standing_) config_.settings.n_instances = standing_->limit_shares;
     share_terms();
     observe(SettingsEvent{config_.settings});
     discovery_.names(cometspoke::settings::names_in(config_.names.zones),
--- a/src/core/forwarder_return.cpp
+++ b/src/core/forwarder_return.cpp
@@ -2,7 +2,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "base/worth.hpp"
+#include "base/value_decay.hpp"
 #include "core/clocks.hpp"
 #include "core/forwarder.hpp"
 #include "logging/log.hpp"
@@ -16,7 +16,7 @@
 
 /// What is left of a message's time; never more than its class has, whatever has become of the clocks.
 Time time_left(const Message& message, const ClassSettings& terms, const Moment& now) {
-    return std::min(until(message.deadline, now), terms.deadline);
+    return std::min(time_until(message.deadline, now), terms.deadline);
 }
 /// How long ago an attempt began. Longer than the window of repeats where no clock can tell, for a repeat
 /// after it would take effect twice.
@@ -62,24 +62,24 @@
             said.push_back({recovery::Said::What::Out, spread::known_as(id), {}});
         return said;
     };
-    recovery_.tells = ordered;
+    recovery_.facts_for_peers = ordered;
     recovery_.start(handed_over, !orders_.now().all_out().empty() || !orders_.now().in_service());
-    awaiting_orders_ = recovery_.asking() && recovery_.orders_lost();
+    awaiting_orders_ = recovery_.awaiting_peers() && recovery_.orders_lost();
     apply_pause();
 }
 
 /// The asking is over: what operators had ordered here, as far as others know, is ordered again.
 void Forwarder::heed_peers() {
-    if (!asked_ && !recovery_.asking()) {
+    if (!asked_ && !recovery_.awaiting_peers()) {
         asked_ = true;
         awaiting_orders_ = false;
         apply_pause();
     }
-    if (recovery_.asking() || !recovery_.orders_lost() || recovery_.taken().out.empty()) return;
+    if (recovery_.awaiting_peers() || !recovery_.orders_lost() || recovery_.peer_facts().out.empty()) return;
     std::vector<std::string> out;
     directory_.each([&](EndpointId, const std::string& id) {
         const std::uint64_t name = spread::known_as(id);
-        if (recovery_.taken().out.contains(name) && heeded_.insert(name).second) out.push_back(id);
+        if (recovery_.peer_facts().out.contains(name) && heeded_.insert(name).second) out.push_back(id);
     });
     for (const std::string& id : out) {
         const auto answer = order({operations::Order::Kind::Offline, id});
@@ -112,7 +112,7 @@
         const Time born = one.left - terms.deadline;
         one.worth = one.left <= Time(0)
                         ? 0
-                        : terms.worth * worth_left(terms, config_.settings.loses_worth, born, Time(0));
+                        : terms.worth * remaining_value(terms, config_.settings.loses_worth, born, Time(0));
         if (terms.sequential && !message.key.empty()) one.line = std::hash<std::string>()(message.key);
         const auto& doubt = entry->may_have_run();
         one.over =
@@ -121,7 +121,7 @@
                           (terms.effect == Effect::Dedup && age_of(*doubt, terms, now) > terms.window)));
         owed.push_back(one);
     }
-    if (!at_once && config_.recovery.pace) return recovery_.owe(std::move(owed));
+    if (!at_once && config_.recovery.pace) return recovery_.set_backlog(std::move(owed));
     for (const auto& one : owed) take_up(*journal_.find(one.id));
 }
 void Forwarder::take_up(const Entry& entry) {
@@ -137,23 +137,23 @@
     if (const auto tenant = tenants_.find(message.tenant); tenant != tenants_.end())
         event.tenant = tenant->second;
     // one that cannot be in time gets its final answer now, not when its time is up
-    event.left = recovery_.hopeless(message.id) ? Time(0) : time_left(message, terms, now);
+    event.left = recovery_.cannot_meet_deadline(message.id) ? Time(0) : time_left(message, terms, now);
     event.route = route_of(message);
     event.attempts = entry.attempts;
     if (const auto& first = entry.may_have_run())
         event.doubt = MessageEvent::Doubt{age_of(*first, terms, now), directory_.number_of(first->target)};
-    else if (recovery_.folder_older())  // it may have been sent since the copy was made
-        event.doubt = MessageEvent::Doubt{*recovery_.folder_older(), {}};
+    else if (recovery_.stale_folder_age())  // it may have been sent since the copy was made
+        event.doubt = MessageEvent::Doubt{*recovery_.stale_folder_age(), {}};
     tell_module(event);
 }
 void Forwarder::take_up_due(Time now) {
     heed_peers();
-    for (const MessageId id : recovery_.take_up(now))
+    for (const MessageId id : recovery_.release_backlog(now))
         if (const Entry* entry = journal_.find(id); entry != nullptr && !entry->notice) take_up(*entry);
 }
 
 /// Of a message that an earlier process held and that nobody decides on any more.
-void Forwarder::end(MessageId id, const Notice& notice) {
+void Forwarder::end(MessageId id, const FinalStatus& notice) {
     journal_.end(id, notice);
     discovery_.report(id, notice);
 }
--- a/src/core/forwarder_sharing.cpp
+++ b/src/core/forwarder_sharing.cpp
@@ -29,10 +29,11 @@
 }
 
 /// Others of the tier have come or gone.
-void Forwarder::stand(const TierWatch::Standing& standing) {
+void Forwarder::stand(const ClusterMembership::Position& standing) {
     standing_ = standing;
-    planner_.stand(spread::point_of(standing.rank, standing.present), standing.present, standing.parts);
-    config_.settings.n_instances = standing.parts;
+    planner_.stand(
+        spread::point_of(standing.rank, standing.present), standing.present, standing.limit_shares);
+    config_.settings.n_instances = standing.limit_shares;
     discovery_.among(standing.present);
     observe(SettingsEvent{config_.settings});
 }
--- a/src/core/forwarder_work.cpp
+++ b/src/core/forwarder_work.cpp
@@ -10,7 +10,7 @@
 
 using namespace cometspoke;
 
-Work::Needs Forwarder::work_needs() {
+Maintenance::Callbacks Forwarder::work_needs() {
     return {
         [this](work::Sight& sight) { look_for_work(sight); }, [this] { heed_work(); }, [this] { drain(); }};
 }
@@ -19,7 +19,7 @@
     sight.serves = listening_ && !draining_ && orders_.now().in_service();
     sight.drained =
         front_->empty() && journal_.unended() == 0 && newcomers_.empty() && delivery_->calls() == 0;
-    sight.warm = recovery_.full();
+    sight.warm = recovery_.complete();
     const auto& plan = work_.plan();
     if (!plan) return;
     // hosts of which no target serves, without anybody's word
@@ -31,8 +31,9 @@
         return at != by_name.end() && at->second->condition == Condition::Ready;
     };
     for (const work::Place& one : plan->machines)
-        if (work::is_host(one.machine) && std::none_of(one.targets.begin(), one.targets.end(),
-                                              [&](auto name) { return serves(name) || work_.out(name); }))
+        if (work::is_host(one.machine) &&
+            std::none_of(one.targets.begin(), one.targets.end(),
+                [&](auto name) { return serves(name) || work_.is_target_out(name); }))
             sight.lost.push_back(one.machine);
     sight.left = [this, &plan](work::Machine machine) { return left_without(*plan, machine); };
     sight.let_go = [this, &plan](work::Machine machine) {
@@ -43,7 +44,7 @@
             const auto& names = plan->machines[*at].targets;
             if (std::find(names.begin(), names.end(), spread::known_as(id)) == names.end()) return;
             const auto known = sender_.state().endpoints_.find(number);
-            free = free && work_.out(spread::known_as(id)) &&
+            free = free && work_.is_target_out(spread::known_as(id)) &&
                    (known == sender_.state().endpoints_.end() || known->second.in_flight == 0);
         });
         return free;
@@ -67,7 +68,7 @@
             const bool goes = std::find(gone.begin(), gone.end(), name) != gone.end();
             touched = touched || goes;
             whole += size;
-            if (!goes && one.condition == Condition::Ready && !work_.out(name)) stays += size;
+            if (!goes && one.condition == Condition::Ready && !work_.is_target_out(name)) stays += size;
         }
         if (!touched || whole <= 0) continue;
         const double used = used_part(destination);
@@ -88,15 +89,15 @@
 }
 
 void Forwarder::service() {
-    const bool in = orders_.now().in_service() && !work_.away();
+    const bool in = orders_.now().in_service() && !work_.out_of_service();
     front_->serve(in);
     tier_.leave(!in || draining_);
 }
 
 /// What is out by the plan has changed: itself, or targets.
 void Forwarder::heed_work() {
-    if (std::exchange(away_, work_.away()) != work_.away() && listening_) service();
-    const auto& out = work_.all_out();
+    if (std::exchange(away_, work_.out_of_service()) != work_.out_of_service() && listening_) service();
+    const auto& out = work_.targets_out();
     if (out == work_out_) return;
     const std::set<std::uint64_t> before = std::exchange(work_out_, out);
     View::Update update;
--- a/src/core/hook.cpp
+++ b/src/core/hook.cpp
@@ -16,15 +16,15 @@
     ::waitpid(child_, nullptr, 0);
 }
 
-bool Hook::begin(const std::vector<std::string>& words, const std::vector<std::string>& environment,
-    std::chrono::steady_clock::duration most) {
-    if (child_ > 0 || words.empty()) return false;
+bool Hook::start(const std::vector<std::string>& command, const std::vector<std::string>& environment,
+    std::chrono::steady_clock::duration time_limit) {
+    if (child_ > 0 || command.empty()) return false;
     std::vector<char*> arguments, variables;
-    for (const std::string& word : words) arguments.push_back(const_cast<char*>(word.c_str()));
-    for (char** one = environ; *one != nullptr; ++one) variables.push_back(*one);
-    for (const std::string& one : environment) variables.push_back(const_cast<char*>(one.c_str()));
+    for (const std::string& word : command) arguments.push_back(const_cast<char*>(word.c_str()));
+    for (char** variable = environ; *variable != nullptr; ++variable) variables.push_back(*variable);
+    for (const std::string& variable : environment) variables.push_back(const_cast<char*>(variable.c_str()));
     arguments.push_back(nullptr), variables.push_back(nullptr);
-    // the program holds signals back while it starts: its child must not
+    // This process blocks signals while it starts; the child must not inherit that mask.
     posix_spawnattr_t attributes;
     ::posix_spawnattr_init(&attributes);
     sigset_t none;
@@ -32,18 +32,18 @@
     ::posix_spawnattr_setsigmask(&attributes, &none);
     ::posix_spawnattr_setflags(&attributes, POSIX_SPAWN_SETSIGMASK);
     const int failed = ::posix_spawn(
-        &child_, words.front().c_str(), nullptr, &attributes, arguments.data(), variables.data());
+        &child_, command.front().c_str(), nullptr, &attributes, arguments.data(), variables.data());
     ::posix_spawnattr_destroy(&attributes);
     if (failed != 0) return child_ = 0, false;
-    until_ = std::chrono::steady_clock::now() + most;
+    deadline_ = std::chrono::steady_clock::now() + time_limit;
     return true;
 }
 
-std::optional<bool> Hook::look() {
+std::optional<bool> Hook::poll() {
     if (child_ <= 0) return std::nullopt;
     int status = 0;
     const pid_t ended = ::waitpid(child_, &status, WNOHANG);
-    if (ended == 0 && std::chrono::steady_clock::now() < until_) return std::nullopt;
+    if (ended == 0 && std::chrono::steady_clock::now() < deadline_) return std::nullopt;
     if (ended == 0) {
         ::kill(child_, SIGKILL);
         ::waitpid(child_, &status, 0);
--- a/src/core/hook.hpp
+++ b/src/core/hook.hpp
@@ -1,7 +1,8 @@
-/// An operator's program, run beside the loop: one at a time, ended with its time. No shell.
+/// Runs the operator's maintenance hook as a child process: one at a time, with a time limit, without a
+/// shell.
 ///
-/// Its end is looked for by polling, for the process has one thread of its own and no handler of SIGCHLD. It
-/// gets the environment of this process and LOCKGW_WORK_* beside it.
+/// The caller polls for its end, because the process has no SIGCHLD handler. The hook inherits the
+/// environment of this process, plus the variables given (LOCKGW_WORK_*).
 #pragma once
 
 #include <sys/types.h>
@@ -18,19 +19,21 @@
     Hook() = default;
     Hook(const Hook&) = delete;
     Hook& operator=(const Hook&) = delete;
-    /// What still runs is ended: nobody would look for its end.
+    /// Kills a hook that is still running, since nothing would wait for it any more.
     ~Hook();
 
-    /// False where it cannot be begun, or one runs.
-    bool begin(const std::vector<std::string>& words, const std::vector<std::string>& environment,
-        std::chrono::steady_clock::duration most);
-    bool runs() const { return child_ > 0; }
-    /// True: it has ended well; false: not, or its time was up. None: it runs, or none does.
-    std::optional<bool> look();
+    /// Starts the program `command[0]` with the other elements as arguments; it is killed after `time_limit`.
+    /// Returns false if it cannot be started or another one is running.
+    bool start(const std::vector<std::string>& command, const std::vector<std::string>& environment,
+        std::chrono::steady_clock::duration time_limit);
+    bool running() const { return child_ > 0; }
+    /// Returns true once if the hook exited with status 0, false once if it failed or exceeded its time limit
+    /// (it is killed then); none while it runs or if there is none.
+    std::optional<bool> poll();
 
 private:
     pid_t child_ = 0;
-    std::chrono::steady_clock::time_point until_{};
+    std::chrono::steady_clock::time_point deadline_{};
 };
 
 }  // namespace lockgw
--- a/src/core/recovery_coordinator.cpp
+++ b/src/core/recovery_coordinator.cpp
@@ -22,347 +22,369 @@
 
 namespace {
 
-constexpr const char* kLearned = "learned";         // in the folder that lasts
-constexpr Time kLook{1'000'000}, kMark{5'000'000};  // between looks; a snapshot is also a sign of life
-constexpr Time::rep kLookShare = 100;               // of the time, a look takes at most one part in so many
-constexpr Time kLeastWait{20'000};                  // a shorter one is over before any other process runs
-constexpr Time kFutureWait{60'000'000};             // of a wait that lies in the future: at most
-constexpr Time kYoung{5'000'000};
-constexpr Time kTogether{2'000'000};            // who came back within this came back together
-constexpr std::size_t kAsked = 3, kEnough = 2;  // peers
-constexpr std::size_t kMostRoom = 512 * 1024;
+constexpr const char* kSnapshotFile = "learned";  // in the state folder
+constexpr Time kSaveInterval{1'000'000};
+// A snapshot is written at least this often: its time also shows how long the process lived.
+constexpr Time kMaxSnapshotAge{5'000'000};
+constexpr Time::rep kSaveIntervalFactor = 100;  // saving uses at most 1/100 of the time
+constexpr Time kMinRecordedWait{20'000};        // a shorter wait ends before another process can run
+constexpr Time kMaxFutureWait{60'000'000};      // upper bound of a wait that starts in the future
+constexpr Time kYoungAge{5'000'000};            // a process this young tells peers that it is
+constexpr Time kRestartWindow{2'000'000};       // restarts within this span count as simultaneous
+constexpr std::size_t kAskedPeers = 3, kRequiredAnswers = 2;
+constexpr std::size_t kMaxSnapshotBudget = 512 * 1024;
 
 }  // namespace
 
-std::size_t snapshot_room(std::size_t disk_bytes) { return std::min(kMostRoom, disk_bytes / 24); }
+std::size_t snapshot_budget(std::size_t disk_bytes) { return std::min(kMaxSnapshotBudget, disk_bytes / 24); }
 
 RecoveryCoordinator::RecoveryCoordinator(
-    asio::io_context& io, Parts parts, Tell tell, std::function<void()> due)
-    : parts_(parts),
-      tell_(std::move(tell)),
-      due_(std::move(due)),
-      look_(io),
-      wake_(io),
-      ask_(io),
-      random_(parts.config.seed ^ mixed(static_cast<std::uint64_t>(unix_ms()))),
-      bytes_(parts.config.recovery.bytes_per_s, 4),
+    asio::io_context& io, Dependencies dependencies, EventSink send_event, std::function<void()> on_due)
+    : dependencies_(dependencies),
+      send_event_(std::move(send_event)),
+      on_due_(std::move(on_due)),
+      save_timer_(io),
+      release_timer_(io),
+      peer_timer_(io),
+      random_(dependencies.config.seed ^ splitmix64(static_cast<std::uint64_t>(unix_ms()))),
+      write_budget_(dependencies.config.recovery.bytes_per_s, 4),
       started_(steady_now()) {}
 
 void RecoveryCoordinator::start(bool handed_over, bool orders) {
     handed_over_ = handed_over;
-    if (parts_.config.recovery.snapshots) read();
-    tell_lost(orders);
+    if (dependencies_.config.recovery.snapshots) read_snapshot();
+    log_lost_state(orders);
     const Moment now = moment_now();
-    for (const auto& [target, wait] : parts_.journal.waits()) {
+    for (const auto& [target, wait] : dependencies_.journal.waits()) {
         const auto age = elapsed(wait.told, now);
-        // from the future: nobody knows how much of it has passed
-        const Time left = age ? wait.span - *age : std::min(wait.span, kFutureWait);
-        if (left > Time(0)) waits_.emplace(target, now.steady + left);
+        // recorded in the future of both clocks: the part that has passed is unknown
+        const Time left = age ? wait.span - *age : std::min(wait.span, kMaxFutureWait);
+        if (left > Time(0)) unlisted_waits_.emplace(target, now.steady + left);
     }
-    listed();
-    if (parts_.tier.on()) {
-        parts_.tier.other([this](tier::Number from, const notes::Section& one) { heard(from, one); });
-        if (!handed_over && parts_.config.recovery.ask_ms > 0) ask();
+    apply_list();
+    if (dependencies_.cluster.enabled()) {
+        dependencies_.cluster.on_recovery_section(
+            [this](tier::Number from, const notes::Section& section) { receive(from, section); });
+        if (!handed_over && dependencies_.config.recovery.ask_ms > 0) ask_peers();
     }
-    if (parts_.config.recovery.snapshots) look();
+    if (dependencies_.config.recovery.snapshots) save_periodically();
 }
 
-void RecoveryCoordinator::read() {
-    const auto path = parts_.config.state / kLearned;
+void RecoveryCoordinator::read_snapshot() {
+    const auto path = dependencies_.config.state / kSnapshotFile;
     std::ifstream stream(path, std::ios::binary);
     if (!stream) return;
     const std::string bytes{std::istreambuf_iterator<char>(stream), {}};
     const Read found = snapshot_of(bytes);
-    if (!found.snapshot) return log::warn("return", "what was learned is not read", {{"why", found.why}});
-    mark_ = found.snapshot->at;
+    if (!found.snapshot) return log::warn("return", "the snapshot cannot be read", {{"why", found.why}});
+    snapshot_time_ = found.snapshot->at;
     valid_facts_ = valid_facts(*found.snapshot, moment_now());
-    if (!handed_over_) pending_ = valid_facts_.facts;
+    if (!handed_over_) unlisted_facts_ = valid_facts_.facts;
     log::info("return", "believes",
         {{"facts", valid_facts_.valid}, {"dropped", valid_facts_.dropped},
             {"age_ms", valid_facts_.age ? valid_facts_.age->count() / 1000 : -1}});
 }
 
-/// What was there, and is not: one line, whatever it is.
-void RecoveryCoordinator::tell_lost(bool orders) {
-    const auto& was = valid_facts_.facts;
-    journal_lost_ = mark_ && was.held > 0 && !parts_.journal.found();
-    orders_lost_ = !handed_over_ && !orders && (!mark_ || was.orders);
-    learned_lost_ = !mark_ && parts_.journal.found() && parts_.config.recovery.snapshots;
-    empty_ = !mark_ && !parts_.journal.found();
-    if (journal_lost_ || (mark_ && was.orders && !orders) || (learned_lost_ && !handed_over_))
+/// Logs which parts of the earlier process's state are missing from the folder, in one line.
+void RecoveryCoordinator::log_lost_state(bool orders) {
+    const auto& before = valid_facts_.facts;
+    journal_lost_ = snapshot_time_ && before.held > 0 && !dependencies_.journal.found();
+    orders_lost_ = !handed_over_ && !orders && (!snapshot_time_ || before.orders);
+    snapshot_lost_ =
+        !snapshot_time_ && dependencies_.journal.found() && dependencies_.config.recovery.snapshots;
+    folder_empty_ = !snapshot_time_ && !dependencies_.journal.found();
+    if (journal_lost_ || (snapshot_time_ && before.orders && !orders) || (snapshot_lost_ && !handed_over_))
         log::warn("return", "a part of the folder is lost",
-            {{"journal", journal_lost_}, {"messages", journal_lost_ ? was.held : 0},
-                {"orders", mark_ && was.orders && !orders}, {"learned", learned_lost_}});
-    if (mark_ && !valid_facts_.age)
-        log::warn("return", "the clock has gone back: nothing learned is believed", {});
+            {{"journal", journal_lost_}, {"messages", journal_lost_ ? before.held : 0},
+                {"orders", snapshot_time_ && before.orders && !orders}, {"learned", snapshot_lost_}});
+    if (snapshot_time_ && !valid_facts_.age)
+        log::warn("return", "the clock was set back: no fact of the snapshot is valid", {});
 }
 
-void RecoveryCoordinator::listed() {
-    if (waits_.empty() && pending_.targets.empty() && pending_.destinations.empty()) return;
+void RecoveryCoordinator::apply_list() {
+    if (unlisted_waits_.empty() && unlisted_facts_.targets.empty() && unlisted_facts_.destinations.empty())
+        return;
     const Time now = steady_now();
-    std::map<std::string, EndpointId> to;
-    parts_.directory.each([&](EndpointId number, const std::string& id) { to.emplace(id, number); });
-    const auto& state = parts_.sender.state();
-    cometspoke::LearnedEvent event = event_of(pending_, to, now);
-    for (auto wait = waits_.begin(); wait != waits_.end();) {
-        const auto number = to.find(wait->first);
-        const auto kept = parts_.journal.waits().find(wait->first);
-        std::optional<EndpointId> at;
-        if (number != to.end()) at = number->second;
-        if (!at &&
-            kept != parts_.journal.waits().end())  // others of its destination share it, where routes do
-            if (const auto home = state.destinations_.find(kept->second.destination);
-                home != state.destinations_.end() && !home->second.endpoints.empty())
-                at = *home->second.endpoints.begin();
-        const auto endpoint = at ? state.endpoints_.find(*at) : state.endpoints_.end();
-        const bool may =
-            endpoint != state.endpoints_.end() && (number != to.end() || !state.apart(endpoint->second));
-        if (may && wait->second > now) {
-            event.endpoints.push_back({*at, endpoint->second.destination, wait->second, {}, {}});
-            ++waits_held_;
+    std::map<std::string, EndpointId> numbers;
+    dependencies_.directory.each(
+        [&](EndpointId number, const std::string& id) { numbers.emplace(id, number); });
+    const auto& state = dependencies_.sender.state();
+    cometspoke::LearnedEvent event = event_of(unlisted_facts_, numbers, now);
+    for (auto wait = unlisted_waits_.begin(); wait != unlisted_waits_.end();) {
+        const auto number = numbers.find(wait->first);
+        const auto recorded = dependencies_.journal.waits().find(wait->first);
+        std::optional<EndpointId> applies_to;
+        if (number != numbers.end()) applies_to = number->second;
+        // The target is not listed: another endpoint of its destination may share the wait.
+        if (!applies_to && recorded != dependencies_.journal.waits().end())
+            if (const auto destination = state.destinations_.find(recorded->second.destination);
+                destination != state.destinations_.end() && !destination->second.endpoints.empty())
+                applies_to = *destination->second.endpoints.begin();
+        const auto endpoint = applies_to ? state.endpoints_.find(*applies_to) : state.endpoints_.end();
+        const bool applicable =
+            endpoint != state.endpoints_.end() && (number != numbers.end() || !state.apart(endpoint->second));
+        if (applicable && wait->second > now) {
+            event.endpoints.push_back({*applies_to, endpoint->second.destination, wait->second, {}, {}});
+            ++waits_applied_;
         }
-        // one that stands for another's stays, for the target itself may still come
-        wait = wait->second <= now || (may && number != to.end()) ? waits_.erase(wait) : std::next(wait);
+        // A wait applied to another endpoint is kept, because the target itself may still be listed.
+        wait = wait->second <= now || (applicable && number != numbers.end()) ? unlisted_waits_.erase(wait)
+                                                                              : std::next(wait);
     }
     learned_ += event.endpoints.size();
-    tell_(event);
-    if (now - started_ > kOutageHolds) return void(pending_ = {});
-    std::erase_if(pending_.targets, [&](const TargetFact& one) { return to.contains(one.id); });
-    std::erase_if(pending_.destinations,
-        [&](const DestinationFact& one) { return state.destinations_.contains(one.number); });
+    send_event_(event);
+    if (now - started_ > kOutageHolds) return void(unlisted_facts_ = {});
+    std::erase_if(unlisted_facts_.targets, [&](const TargetFact& fact) { return numbers.contains(fact.id); });
+    std::erase_if(unlisted_facts_.destinations,
+        [&](const DestinationFact& fact) { return state.destinations_.contains(fact.number); });
 }
 
-void RecoveryCoordinator::wait_told(EndpointId endpoint, std::int64_t destination, Time span) {
-    const std::string* name = parts_.directory.name_of(endpoint);
-    if (span < kLeastWait || name == nullptr) return;
+void RecoveryCoordinator::record_retry_after(EndpointId endpoint, std::int64_t destination, Time span) {
+    const std::string* name = dependencies_.directory.name_of(endpoint);
+    if (span < kMinRecordedWait || name == nullptr) return;
     const Moment now = moment_now();
-    const auto& kept = parts_.journal.waits();
-    if (const auto before = kept.find(*name);
-        before != kept.end() && before->second.told.boot == now.boot &&
+    const auto& recorded = dependencies_.journal.waits();
+    if (const auto before = recorded.find(*name);
+        before != recorded.end() && before->second.told.boot_id == now.boot_id &&
         before->second.told.steady + before->second.span >= now.steady + span)
-        return;  // it is to be left alone for longer already
-    parts_.journal.wait_told(*name, {destination, span, now});
+        return;  // the recorded wait ends later
+    dependencies_.journal.wait_told(*name, {destination, span, now});
 }
 
-// ---- what is owed ----
+// ---- backlog ----
 
-void RecoveryCoordinator::owe(std::vector<Owed> owed) {
+void RecoveryCoordinator::set_backlog(std::vector<Owed> backlog) {
     BacklogPacingSettings settings;
-    // who came back with it nobody knows, until peers have told (asking_over)
-    settings.together = std::max<std::size_t>(1, parts_.config.settings.n_instances);
-    settings.most = std::max<std::size_t>(2, parts_.config.settings.slots);
+    // Assumes that all forwarders restarted together, until peers have answered (finish_asking).
+    settings.together = std::max<std::size_t>(1, dependencies_.config.settings.n_instances);
+    settings.most = std::max<std::size_t>(2, dependencies_.config.settings.slots);
     if (valid_facts_.facts.usual_s > 0)
         settings.usual = Time(static_cast<Time::rep>(valid_facts_.facts.usual_s * 1e6));
-    owes_ = !owed.empty();
+    backlog_pending_ = !backlog.empty();
     const double draw = std::uniform_real_distribution<double>(0, 1)(random_);
-    backlog_ = BacklogPacing(settings, std::move(owed), draw, steady_now());
-    if (owes_)
+    backlog_ = BacklogPacing(settings, std::move(backlog), draw, steady_now());
+    if (backlog_pending_)
         log::info("return", "owes",
             {{"messages", backlog_.owed()}, {"begins_in_ms", (backlog_.begins() - started_).count() / 1000}});
-    due_();
+    on_due_();
 }
 
-std::vector<MessageId> RecoveryCoordinator::take_up(Time now) {
-    if (!owes_ || asking()) return {};
-    std::vector<MessageId> all = backlog_.release(now, hurry_);
+std::vector<MessageId> RecoveryCoordinator::release_backlog(Time now) {
+    if (!backlog_pending_ || awaiting_peers()) return {};
+    std::vector<MessageId> released = backlog_.release(now, pacing_stopped_);
     if (backlog_.phase() == BacklogPacing::Phase::Full) {
-        owes_ = false;
-        full_after_ = now - started_;
+        backlog_pending_ = false;
+        complete_after_ = now - started_;
         log::info("return", "full",
-            {{"after_ms", full_after_->count() / 1000}, {"messages", backlog_.owed()},
+            {{"after_ms", complete_after_->count() / 1000}, {"messages", backlog_.owed()},
                 {"refusals", backlog_.refusals()}});
     }
-    wake();
-    return all;
+    schedule_release();
+    return released;
 }
 
-void RecoveryCoordinator::wake() {
+void RecoveryCoordinator::schedule_release() {
     const auto next = backlog_.next();
-    if (!owes_ || !next) return;
-    wake_.expires_at(std::chrono::steady_clock::time_point(*next));
-    wake_.async_wait([this](auto cancelled) {
-        if (!cancelled) due_();
+    if (!backlog_pending_ || !next) return;
+    release_timer_.expires_at(std::chrono::steady_clock::time_point(*next));
+    release_timer_.async_wait([this](auto cancelled) {
+        if (!cancelled) on_due_();
     });
 }
 
-void RecoveryCoordinator::outcome(const cometspoke::OutcomeEvent& event) {
+void RecoveryCoordinator::on_outcome(const cometspoke::OutcomeEvent& event) {
     if (event.outcome == cometspoke::Outcome::TurnedAway) backlog_.turned_away(event.message, steady_now());
 }
-void RecoveryCoordinator::over(MessageId id, bool served) {
-    if (owes_) backlog_.over(id, served);
+void RecoveryCoordinator::on_message_ended(MessageId id, bool served) {
+    if (backlog_pending_) backlog_.over(id, served);
 }
 
 // ---- peers ----
 
-void RecoveryCoordinator::ask() {
-    const auto peers = parts_.tier.some(kAsked);
+void RecoveryCoordinator::ask_peers() {
+    const auto peers = dependencies_.cluster.random_peers(kAskedPeers);
     if (peers.empty()) return;
-    const Time until = steady_now() + Time(parts_.config.recovery.ask_ms * 1000);
+    const Time until = steady_now() + Time(dependencies_.config.recovery.ask_ms * 1000);
     peer_state_.emplace(
-        std::set<std::size_t>(peers.begin(), peers.end()), std::min(kEnough, peers.size()), until);
-    const std::string question = bytes_of(Question{parts_.tier.incarnation()});
-    for (const tier::Number peer : peers) parts_.tier.say(peer, notes::Kind::Question, question);
-    ask_.expires_at(std::chrono::steady_clock::time_point(until));
-    ask_.async_wait([this](auto cancelled) {
-        if (!cancelled) asking_over();
+        std::set<std::size_t>(peers.begin(), peers.end()), std::min(kRequiredAnswers, peers.size()), until);
+    const std::string question = bytes_of(Question{dependencies_.cluster.incarnation()});
+    for (const tier::Number peer : peers)
+        dependencies_.cluster.send_section(peer, notes::Kind::Question, question);
+    peer_timer_.expires_at(std::chrono::steady_clock::time_point(until));
+    peer_timer_.async_wait([this](auto cancelled) {
+        if (!cancelled) finish_asking();
     });
 }
 
-void RecoveryCoordinator::heard(tier::Number from, const notes::Section& section) {
+void RecoveryCoordinator::receive(tier::Number from, const notes::Section& section) {
     if (section.kind == static_cast<std::uint8_t>(notes::Kind::Question)) {
         if (const auto question = question_of(section.bytes)) answer(from, *question);
         return;
     }
-    const auto said = answer_of(section.bytes);
-    if (!said || !peer_state_) return;
-    if (asked_) return void(++late_answers_);
-    peer_state_->heard(from, *said, steady_now());
-    if (peer_state_->done(steady_now())) asking_over();
+    const auto answer = answer_of(section.bytes);
+    if (!answer || !peer_state_) return;
+    if (peers_done_) return void(++late_answers_);
+    peer_state_->heard(from, *answer, steady_now());
+    if (peer_state_->done(steady_now())) finish_asking();
 }
 
 void RecoveryCoordinator::answer(tier::Number from, const Question& question) {
     Answer answer;
-    answer.young = steady_now() - started_ < kYoung;
-    answer.heard = parts_.tier.heard_before(from, question.incarnation);
-    if (tells) answer.facts = tells();
+    answer.young = steady_now() - started_ < kYoungAge;
+    answer.heard = dependencies_.cluster.previous_process_last_heard(from, question.incarnation);
+    if (facts_for_peers) answer.facts = facts_for_peers();
     const Time now = steady_now();
-    questions_.push_back(now);
-    answer.facts.insert(answer.facts.begin(), {Said::What::Back, back_of_late(now), {}});
-    for (const TargetFact& one : present(now).targets)
-        if (one.outage && !one.outage->answers)
-            answer.facts.push_back({Said::What::Down, spread::known_as(one.id), one.outage->fell});
+    question_times_.push_back(now);
+    answer.facts.insert(answer.facts.begin(), {Said::What::Back, recently_restarted(now), {}});
+    for (const TargetFact& fact : current_facts(now).targets)
+        if (fact.outage && !fact.outage->answers)
+            answer.facts.push_back({Said::What::Down, spread::known_as(fact.id), fact.outage->fell});
     for (const std::string& bytes : sections_of(answer, notes::room_beside(notes::kHeadBytes)))
-        parts_.tier.say(from, notes::Kind::Answer, bytes);
-    // and what it knows of limits, in the form that the module reads
-    const auto reports = parts_.sender.state().limits_.all();
-    for (std::size_t at = 0; at < reports.size(); at += rate_limits::kMaxReports) {
-        const auto last = std::min(reports.size(), at + rate_limits::kMaxReports);
-        parts_.tier.say(from, notes::Kind::Limits,
+        dependencies_.cluster.send_section(from, notes::Kind::Answer, bytes);
+    // Known rate limits, in the encoding of the decision module.
+    const auto reports = dependencies_.sender.state().limits_.all();
+    for (std::size_t first = 0; first < reports.size(); first += rate_limits::kMaxReports) {
+        const auto last = std::min(reports.size(), first + rate_limits::kMaxReports);
+        dependencies_.cluster.send_section(from, notes::Kind::Limits,
             rate_limits::encode(
-                {reports.begin() + static_cast<long>(at), reports.begin() + static_cast<long>(last)}, now));
+                {reports.begin() + static_cast<long>(first), reports.begin() + static_cast<long>(last)},
+                now));
     }
 }
 
-/// By the questions that came here, and by the watch.
-std::size_t RecoveryCoordinator::back_of_late(Time now) {
-    while (!questions_.empty() && questions_.front() < now - kTogether) questions_.pop_front();
-    const std::size_t others = parts_.config.peers.empty() ? 0 : parts_.config.peers.size() - 1;
-    return back_of(questions_.size(), others, kAsked, parts_.tier.back_of_late(kTogether));
+/// Estimates how many forwarders restarted within kRestartWindow, from the questions that came here and from
+/// the failure detector.
+std::size_t RecoveryCoordinator::recently_restarted(Time now) {
+    while (!question_times_.empty() && question_times_.front() < now - kRestartWindow)
+        question_times_.pop_front();
+    const std::size_t others = dependencies_.config.peers.empty() ? 0 : dependencies_.config.peers.size() - 1;
+    return back_of(question_times_.size(), others, kAskedPeers,
+        dependencies_.cluster.recently_restarted(kRestartWindow));
 }
 
-void RecoveryCoordinator::asking_over() {
-    if (asked_) return;
-    asked_ = true;
-    ask_.cancel();
+void RecoveryCoordinator::finish_asking() {
+    if (peers_done_) return;
+    peers_done_ = true;
+    peer_timer_.cancel();
     const Time now = steady_now();
-    taken_ = peer_state_->taken(now);
-    if (taken_.back) backlog_.together(std::max<std::size_t>(1, *taken_.back), now);
-    const auto mark = mark_ ? elapsed(*mark_, moment_now()) : std::nullopt;
-    if (PeerStateTransfer::folder_is_old(taken_, mark)) {
-        folder_older_ = *mark;
-        log::warn("return", "the folder is an older copy: what it lacks may have been sent",
-            {{"written_ms_ago", mark->count() / 1000}, {"heard_ms_ago", taken_.heard->count() / 1000}});
+    peer_facts_ = peer_state_->taken(now);
+    if (peer_facts_.back) backlog_.together(std::max<std::size_t>(1, *peer_facts_.back), now);
+    const auto snapshot_age = snapshot_time_ ? elapsed(*snapshot_time_, moment_now()) : std::nullopt;
+    if (PeerStateTransfer::folder_is_old(peer_facts_, snapshot_age)) {
+        stale_folder_age_ = *snapshot_age;
+        log::warn("return", "the state folder is an older copy: its messages may have been sent since",
+            {{"written_ms_ago", snapshot_age->count() / 1000},
+                {"heard_ms_ago", peer_facts_.heard->count() / 1000}});
     }
     log::info("return", "asked",
-        {{"answers", peer_state_->answers()}, {"out_by_hand", taken_.out.size()},
-            {"down", taken_.down.size()}, {"back", taken_.back.value_or(0)}});
+        {{"answers", peer_state_->answers()}, {"out_by_hand", peer_facts_.out.size()},
+            {"down", peer_facts_.down.size()}, {"back", peer_facts_.back.value_or(0)}});
     Snapshot facts;
     facts.at = moment_now();
-    parts_.directory.each([&](EndpointId number, const std::string& id) {
-        const auto down = taken_.down.find(spread::known_as(id));
-        const auto& endpoints = parts_.sender.state().endpoints_;
-        const auto at = endpoints.find(number);
-        if (down == taken_.down.end() || at == endpoints.end()) return;
-        TargetFact one{id, at->second.destination, Outage{}, {}};
-        one.outage->failure_seen = true, one.outage->failing = 1, one.outage->fell = down->second;
-        facts.targets.push_back(std::move(one));
+    dependencies_.directory.each([&](EndpointId number, const std::string& id) {
+        const auto down = peer_facts_.down.find(spread::known_as(id));
+        const auto& endpoints = dependencies_.sender.state().endpoints_;
+        const auto endpoint = endpoints.find(number);
+        if (down == peer_facts_.down.end() || endpoint == endpoints.end()) return;
+        TargetFact fact{id, endpoint->second.destination, Outage{}, {}};
+        fact.outage->failure_seen = true, fact.outage->failing = 1, fact.outage->fell = down->second;
+        facts.targets.push_back(std::move(fact));
     });
-    std::map<std::string, EndpointId> to;
-    parts_.directory.each([&](EndpointId number, const std::string& id) { to.emplace(id, number); });
-    const auto event = event_of(facts, to, now);
+    std::map<std::string, EndpointId> numbers;
+    dependencies_.directory.each(
+        [&](EndpointId number, const std::string& id) { numbers.emplace(id, number); });
+    const auto event = event_of(facts, numbers, now);
     learned_ += event.endpoints.size();
-    if (!event.endpoints.empty()) tell_(event);
-    due_();
+    if (!event.endpoints.empty()) send_event_(event);
+    on_due_();
 }
 
 // ---- snapshots ----
 
-Snapshot RecoveryCoordinator::present(Time now) {
+Snapshot RecoveryCoordinator::current_facts(Time now) {
     return facts_of(
-        parts_.sender, [this](EndpointId number) { return parts_.directory.name_of(number); }, now);
+        dependencies_.sender, [this](EndpointId number) { return dependencies_.directory.name_of(number); },
+        now);
 }
 
-void RecoveryCoordinator::look() {
+void RecoveryCoordinator::save_periodically() {
     const Time before = steady_now();
-    save();
-    const Time took = steady_now() - before;
-    look_.expires_after(std::max(kLook, took * kLookShare));
-    look_.async_wait([this](auto cancelled) {
-        if (!cancelled) look();
+    save_snapshot();
+    const Time duration = steady_now() - before;
+    save_timer_.expires_after(std::max(kSaveInterval, duration * kSaveIntervalFactor));
+    save_timer_.async_wait([this](auto cancelled) {
+        if (!cancelled) save_periodically();
     });
 }
 
-void RecoveryCoordinator::save() {
+void RecoveryCoordinator::save_snapshot() {
     const Time now = steady_now();
-    for (const auto& [target, wait] : parts_.journal.waits())
-        if (wait.told.boot == moment_now().boot && wait.told.steady + wait.span <= now) {
-            parts_.journal.wait_over(std::string(target));
-            break;  // one a look: there are few
+    for (const auto& [target, wait] : dependencies_.journal.waits())
+        if (wait.told.boot_id == moment_now().boot_id && wait.told.steady + wait.span <= now) {
+            dependencies_.journal.wait_over(std::string(target));
+            break;  // one for each save: there are few
         }
-    Snapshot fresh = present(now);
-    fresh.at = moment_now();
-    fresh.held = parts_.journal.unended();
-    fresh.orders = tells && !tells().empty();
-    const std::uint64_t gist = gist_of(fresh);
-    if (written_at_ > Time(0) && gist == gist_ && now - written_at_ < kMark) return;
-    const std::size_t room = snapshot_room(parts_.config.disk_bytes) / 2;
-    std::string bytes = bytes_of(fresh);
-    while (bytes.size() > room && !(fresh.targets.empty() && fresh.destinations.empty())) {
-        fresh.targets.resize(fresh.targets.size() / 2);  // the journal goes before
-        fresh.destinations.resize(fresh.destinations.size() / 2);
-        bytes = bytes_of(fresh);
+    Snapshot snapshot = current_facts(now);
+    snapshot.at = moment_now();
+    snapshot.held = dependencies_.journal.unended();
+    snapshot.orders = facts_for_peers && !facts_for_peers().empty();
+    const std::uint64_t digest = gist_of(snapshot);
+    if (written_at_ > Time(0) && digest == written_digest_ && now - written_at_ < kMaxSnapshotAge) return;
+    // half of the budget: the old file stays until the new one is complete
+    const std::size_t max_bytes = snapshot_budget(dependencies_.config.disk_bytes) / 2;
+    std::string bytes = bytes_of(snapshot);
+    while (bytes.size() > max_bytes && !(snapshot.targets.empty() && snapshot.destinations.empty())) {
+        snapshot.targets.resize(snapshot.targets.size() / 2);  // the journal has priority
+        snapshot.destinations.resize(snapshot.destinations.size() / 2);
+        bytes = bytes_of(snapshot);
     }
-    if (bytes.size() > room || !bytes_.take(static_cast<double>(bytes.size()), now)) return;
+    if (bytes.size() > max_bytes || !write_budget_.take(static_cast<double>(bytes.size()), now)) return;
     written_at_ = now;
-    if (write(bytes)) {
-        gist_ = gist;
+    if (write_file(bytes)) {
+        written_digest_ = digest;
         ++writes_;
     } else if (failed_writes_++ == 0) {
-        log::warn("return", "what was learned cannot be written down", {});
+        log::warn("return", "the snapshot cannot be written", {});
     }
 }
 
-/// Whole or not at all; what stood there before stays where it cannot be written.
-bool RecoveryCoordinator::write(const std::string& bytes) {
-    const auto path = parts_.config.state / kLearned, fresh = parts_.config.state / "learned.new";
-    const Descriptor file(::open(fresh.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600));
+/// Replaces the snapshot file atomically; the old file stays if that fails.
+bool RecoveryCoordinator::write_file(const std::string& bytes) {
+    const auto path = dependencies_.config.state / kSnapshotFile,
+               temporary = dependencies_.config.state / "learned.new";
+    const Descriptor file(::open(temporary.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600));
     std::error_code failed;
-    bool kept = file.get() >= 0 && write_all(file.get(), bytes);
-    if (kept) std::filesystem::rename(fresh, path, failed);
-    kept = kept && !failed;
-    if (!kept) std::filesystem::remove(fresh, failed);
-    return kept;
+    bool written = file.get() >= 0 && write_all(file.get(), bytes);
+    if (written) std::filesystem::rename(temporary, path, failed);
+    written = written && !failed;
+    if (!written) std::filesystem::remove(temporary, failed);
+    return written;
 }
 
 Json RecoveryCoordinator::status() const {
     const auto ms = [](const std::optional<Time>& span) {
         return span ? Json(span->count() / 1000) : Json();
     };
-    const char* phase = asking() ? "asking" : text_of(owes_ ? backlog_.phase() : BacklogPacing::Phase::Full);
+    const char* phase = awaiting_peers()
+                            ? "asking"
+                            : text_of(backlog_pending_ ? backlog_.phase() : BacklogPacing::Phase::Full);
     return {{"phase", phase}, {"up_ms", (steady_now() - started_).count() / 1000},
-        {"full_after_ms", ms(full_after_)}, {"handed_over", handed_over_},
+        {"full_after_ms", ms(complete_after_)}, {"handed_over", handed_over_},
         {"owed", {{"all", backlog_.owed()}, {"waiting", backlog_.waiting()}, {"out", backlog_.out()},
                      {"window", backlog_.window()}, {"refusals", backlog_.refusals()},
                      {"began_after_ms", (backlog_.begins() - started_).count() / 1000}}},
-        {"believed", {{"snapshot_age_ms", ms(valid_facts_.age)}, {"facts", valid_facts_.valid},
-                         {"dropped", valid_facts_.dropped}, {"learned", learned_}, {"waits", waits_held_}}},
+        {"believed",
+            {{"snapshot_age_ms", ms(valid_facts_.age)}, {"facts", valid_facts_.valid},
+                {"dropped", valid_facts_.dropped}, {"learned", learned_}, {"waits", waits_applied_}}},
         {"peers", {{"asked", peer_state_.has_value()}, {"answers", peer_state_ ? peer_state_->answers() : 0},
-                      {"late", late_answers_}, {"out_by_hand", taken_.out.size()},
-                      {"down", taken_.down.size()}, {"back", taken_.back ? Json(*taken_.back) : Json()}}},
-        {"lost", {{"all", empty_}, {"journal", journal_lost_}, {"learned", learned_lost_},
-                     {"orders", orders_lost_ && mark_.has_value()}, {"folder_older_ms", ms(folder_older_)}}},
-        {"snapshots", {{"on", parts_.config.recovery.snapshots}, {"written", writes_},
-                          {"failed", failed_writes_}, {"waits_kept", parts_.journal.waits().size()}}}};
+                      {"late", late_answers_}, {"out_by_hand", peer_facts_.out.size()},
+                      {"down", peer_facts_.down.size()},
+                      {"back", peer_facts_.back ? Json(*peer_facts_.back) : Json()}}},
+        {"lost", {{"all", folder_empty_}, {"journal", journal_lost_}, {"learned", snapshot_lost_},
+                     {"orders", orders_lost_ && snapshot_time_.has_value()},
+                     {"folder_older_ms", ms(stale_folder_age_)}}},
+        {"snapshots", {{"on", dependencies_.config.recovery.snapshots}, {"written", writes_},
+                          {"failed", failed_writes_}, {"waits_kept", dependencies_.journal.waits().size()}}}};
 }
 
 }  // namespace lockgw
--- a/src/core/standing.hpp
+++ b/src/core/subset_parameters.hpp
@@ -1,4 +1,4 @@
-/// Where a forwarder stands in its tier, by what it was told.
+/// Parameters of this forwarder's subset computation, from its configuration.
 #pragma once
 
 #include "config/config.hpp"
@@ -6,8 +6,9 @@
 
 namespace lockgw {
 
-/// Its point by its number, by chance where it was told none.
-inline spread::Standing standing_of(const Config& config) {
+/// The position on the ring follows from the forwarder's number; without a number it is derived from the
+/// seed.
+inline spread::Standing subset_parameters(const Config& config) {
     const bool numbered = config.shape.contains("me");
     const auto& settings = config.settings;
     return {numbered ? spread::point_of(settings.own_number, settings.n_instances)
--- a/src/deliveries/http/targets.cpp
+++ b/src/deliveries/http/targets.cpp
@@ -127,8 +127,7 @@
     bool open() {
         boost::system::error_code failed;
         socket_.open(address_.protocol(), failed);
-        while (
-            failed && out_of_descriptors(failed.value()) && (owner_.drop_one() || owner_.spare_.give_back()))
+        while (failed && out_of_descriptors(failed.value()) && (owner_.drop_one() || owner_.spare_.release()))
             socket_.open(address_.protocol(), failed);
         return !failed;
     }
@@ -326,7 +325,7 @@
 /// One that ended by itself: its descriptor is the next call's before it is anybody's.
 void Targets::gone(const Connection& connection) {
     drop(connection);
-    spare_.take();
+    spare_.acquire();
 }
 
 /// Under the limit of descriptors: an idle connection goes first, then one whose call has its outcome.
@@ -344,14 +343,14 @@
 bool Targets::close_one() {
     if (!drop_one()) return false;
     if (spare_.held()) return true;
-    spare_.take();
+    spare_.acquire();
     return false;
 }
 
 void Targets::ended(const Connection& connection, OutcomeEvent outcome) {
     const auto found = calls_.find({outcome.message, outcome.attempt});
     if (found != calls_.end() && found->second == connection) calls_.erase(found);
-    spare_.take();  // its connection may be closed
+    spare_.acquire();  // its connection may be closed
     done_(std::move(outcome));
 }
 
--- a/src/fronts/resp2/clients.cpp
+++ b/src/fronts/resp2/clients.cpp
@@ -5,8 +5,8 @@
 #include <boost/asio/post.hpp>
 #include <utility>
 
+#include "core/admission_limits.hpp"
 #include "core/clocks.hpp"
-#include "core/door_limits.hpp"
 #include "logging/log.hpp"
 
 namespace lockgw {
@@ -72,14 +72,14 @@
     : io_(io),
       config_(config),
       intake_(intake),
-      door_(door_limits(most_connections, config.door)),
+      door_(connection_limits(most_connections, config.door)),
       overload_(overload_limits(config.door)),
       waiting_(most_connections),
       listener_(io),
       pause_(io),
       sweep_(io),
       hand_on_(io),
-      memory_(door_memory(config.memory_bytes, config.door)),
+      memory_(client_memory_limit(config.memory_bytes, config.door)),
       read_turns_(read_limits(config.door)) {}
 Clients::~Clients() = default;
 
--- a/src/handover/knowledge.cpp
+++ b/src/handover/knowledge.cpp
@@ -23,25 +23,27 @@
 
 /// All but what belongs to lists, calls and connections of the process that knew it.
 void copy(const Endpoint& from, Endpoint& to) {
-    to.own = from.own;
-    to.used = from.used, to.heard = from.heard, to.often = from.often;
+    to.own_route = from.own_route;
+    to.last_call_at = from.last_call_at, to.last_outcome_at = from.last_outcome_at,
+    to.frequently_called = from.frequently_called;
     to.health = from.health, to.failure_seen = from.failure_seen;
-    to.failing = from.failing, to.refused_row = from.refused_row;
-    to.last_good = from.last_good, to.refused_at = from.refused_at;
-    to.lost_at = from.lost_at, to.unconnected_at = from.unconnected_at;
-    to.fell = from.fell, to.knowing = from.knowing;
-    to.returned = from.returned, to.cold_tag = from.cold_tag;
+    to.failure_rate = from.failure_rate, to.consecutive_refusals = from.consecutive_refusals;
+    to.last_success_at = from.last_success_at, to.last_refusal_at = from.last_refusal_at;
+    to.connection_lost_at = from.connection_lost_at, to.connect_failed_at = from.connect_failed_at;
+    to.unhealthy_since = from.unhealthy_since, to.aware_share = from.aware_share;
+    to.recovery_start = from.recovery_start, to.recovery_tag = from.recovery_tag;
 }
 void copy(const Destination& from, Destination& to) {
-    to.shared = from.shared;
+    to.shared_route = from.shared_route;
     to.reservation_tag = from.reservation_tag;
-    to.usual = from.usual, to.asked = from.asked, to.asked_at = from.asked_at;
+    to.typical_latency_s = from.typical_latency_s, to.message_rate = from.message_rate,
+    to.last_message_at = from.last_message_at;
     to.served_rate = from.served_rate, to.last_served = from.last_served;
 }
 
 void wait_at_least(State& state, EndpointId id, Time until) {
     const auto found = state.endpoints_.find(id);
-    if (found == state.endpoints_.end() || found->second.home == nullptr) return;
+    if (found == state.endpoints_.end() || found->second.destination_record == nullptr) return;
     Route& route = state.route_of(found->second);
     route.wait_until = std::max(route.wait_until, until);
 }
@@ -93,7 +95,7 @@
             ++learned;
             const auto home = old.destinations_.find(source->second.destination);
             if (home != old.destinations_.end() && done.insert(home->first).second)
-                copy(home->second, *target->second.home);
+                copy(home->second, *target->second.destination_record);
         }
         state.overall_usual_ = old.overall_usual_;
         state.limits_ = old.limits_;
--- a/src/membership/agent.cpp
+++ b/src/membership/agent.cpp
@@ -32,7 +32,7 @@
 void AgentConnection::connect() {
     boost::system::error_code failed;  // where it stays, the connect meets it again and tells
     socket_.open(address_.protocol(), failed);
-    if (failed && out_of_descriptors(failed.value()) && spare_.give_back())
+    if (failed && out_of_descriptors(failed.value()) && spare_.release())
         socket_.open(address_.protocol(), failed);
     socket_.async_connect(address_, guarded([](AgentConnection& self, auto failed) {
         if (failed) return self.fail(failed.message());
--- a/src/membership/asker.cpp
+++ b/src/membership/asker.cpp
@@ -53,7 +53,7 @@
     if (peek_)
         for (const std::uint64_t request : steps.peek) looked_at(request);
     if (steps.begin) begin(*steps.begin);
-    spare_descriptor_.take();
+    spare_descriptor_.acquire();
     arm();
 }
 
--- a/src/membership/discovery.cpp
+++ b/src/membership/discovery.cpp
@@ -275,13 +275,13 @@
         {{"why", why.substr(0, 160)}, {"in_a_row", failures_}, {"for_s", seconds(now - failing_since_)}});
 }
 
-void Discovery::nobody_to_tell(MessageId id, const Notice& notice) {
+void Discovery::nobody_to_tell(MessageId id, const FinalStatus& notice) {
     log::info("core", "ended",
-        {{"message", cometspoke::settings::id_text(id)}, {"as", notice.bounced ? "bounced" : "dead"}});
+        {{"message", cometspoke::settings::id_text(id)}, {"as", notice.refused ? "bounced" : "dead"}});
     boost::asio::post(io_, [this, id] { confirmed_(id); });
 }
 
-void Discovery::report(MessageId id, const Notice& notice) {
+void Discovery::report(MessageId id, const FinalStatus& notice) {
     if (!address_) return nobody_to_tell(id, notice);
     notices_.insert_or_assign(id, notice);
     reports_.want(true);
@@ -293,8 +293,8 @@
     for (const auto& [id, notice] : notices_) {
         if (sent.size() == kMostNotices) break;
         Json line{
-            {"ref", cometspoke::settings::id_text(id)}, {"result", notice.bounced ? "bounced" : "dead"}};
-        if (notice.bounced && notice.wait > 0ms) line["wait_ms"] = notice.wait.count();
+            {"ref", cometspoke::settings::id_text(id)}, {"result", notice.refused ? "bounced" : "dead"}};
+        if (notice.refused && notice.retry_after > 0ms) line["wait_ms"] = notice.retry_after.count();
         body += line.dump() + "\n";
         sent.push_back(id);
     }
--- a/src/membership/discovery.hpp
+++ b/src/membership/discovery.hpp
@@ -14,7 +14,7 @@
 #include <vector>
 
 #include "background/worker.hpp"
-#include "base/notice.hpp"
+#include "base/final_status.hpp"
 #include "membership/asker.hpp"
 #include "membership/view.hpp"
 
@@ -55,7 +55,7 @@
     /// The settings have another grace for drains now.
     void drain_grace(std::chrono::milliseconds grace);
     /// Posted until it is answered 204. Without an agent it is logged, and counts as confirmed at once.
-    void report(MessageId id, const Notice& notice);
+    void report(MessageId id, const FinalStatus& notice);
 
     const View& view() const { return view_; }
     /// The view in the form of take_known(), for another process; null where there is none.
@@ -63,7 +63,7 @@
 
 private:
     void set_limits();
-    void nobody_to_tell(MessageId id, const Notice& notice);
+    void nobody_to_tell(MessageId id, const FinalStatus& notice);
     Asker::Request ask_list(std::uint64_t request);
     /// What could be made of an answer, without the view.
     struct Parsed {
@@ -96,7 +96,7 @@
     Confirmed confirmed_;
     View view_;
     std::map<std::uint64_t, View::Asked> asked_;  // by request
-    std::map<MessageId, Notice> notices_;
+    std::map<MessageId, FinalStatus> notices_;
     std::map<std::uint64_t, std::vector<MessageId>> posted_;  // by request
     std::size_t failures_ = 0;                                // of the watch, in a row
     View::Time failing_since_{}, logged_{};
--- a/src/policy/logic.cpp
+++ b/src/policy/logic.cpp
@@ -31,7 +31,7 @@
         if (event.kind != ListKind::Changes)
             for (auto& [id, endpoint] : endpoints_) {
                 endpoint.condition = Condition::Gone;
-                endpoint.home->endpoints.erase(id), gone_.insert(id);
+                endpoint.destination_record->endpoints.erase(id), gone_.insert(id);
                 touch(endpoint.destination, now);
             }
         for (const ListEntry& entry : event.entries) list(entry, now);
@@ -45,9 +45,9 @@
         Message message;
         message.message_class = event.message_class, message.destination = event.destination;
         message.arrival = ++arrivals_;
-        message.born = now + event.left - kind.deadline;
+        message.created_at = now + event.left - kind.deadline;
         message.deadline = now + event.left;
-        message.over_share = event.tenant && over_quota(*event.tenant, now);
+        message.over_quota = event.tenant && over_quota(*event.tenant, now);
         message.route = event.route;
         message.attempts = event.attempts;  // a restart changes nothing in what may have run
         if (event.doubt) {
@@ -56,12 +56,13 @@
         }
         if (kind.sequential && event.key) {
             message.key = event.key;
-            keys_[*event.key].turn.push_back(event.message);
+            keys_[*event.key].waiting.push_back(event.message);
         }
         Destination& destination = destinations_[event.destination];
-        if (destination.named == 0) unnamed_.insert(event.destination);
-        const double age = seconds(now - std::exchange(destination.asked_at, now));
-        destination.asked = (destination.asked * kMemory_s * std::exp(-age / kMemory_s) + 1.0) / kMemory_s;
+        if (destination.endpoint_count == 0) unnamed_.insert(event.destination);
+        const double age = seconds(now - std::exchange(destination.last_message_at, now));
+        destination.message_rate =
+            (destination.message_rate * kMemory_s * std::exp(-age / kMemory_s) + 1.0) / kMemory_s;
         hold(event.destination, destination, event.message, message);
         messages_.emplace(event.message, message);
         if (active_.emplace(event.destination, &destination).second)
@@ -76,20 +77,21 @@
         attempts_.erase(found);
         if (key) settle_key(*key, event, now);
         Call& call = calls_.at(call_id);
-        Endpoint& endpoint = *call.at;
+        Endpoint& endpoint = *call.endpoint_record;
         Route& route = route_of(endpoint);  // each message of a call may be told its own wait
         if (event.outcome == Outcome::TurnedAway)
             route.wait_until = std::max(route.wait_until, now + event.wait);
-        if (!call.judged && event.outcome != Outcome::NotSent) {
-            call.judged = true;
+        if (!call.health_counted && event.outcome != Outcome::NotSent) {
+            call.health_counted = true;
             learn(call, event.outcome, event.report, event.rtt, now);
         }
         const Call ended = call;
-        if (--call.out == 0) {
-            --endpoint.in_flight, --endpoint.home->in_flight;
+        if (--call.open_attempts == 0) {
+            --endpoint.in_flight, --endpoint.destination_record->in_flight;
             const bool lives = event.outcome == Outcome::Served || event.outcome == Outcome::ServerError ||
                                event.outcome == Outcome::TurnedAway;
-            if (lives) endpoint.idle.push_back(now + settings_.conn_idle), freed_.insert(ended.endpoint);
+            if (lives)
+                endpoint.idle_expiries.push_back(now + settings_.conn_idle), freed_.insert(ended.endpoint);
             calls_.erase(call_id);
         }
         settle(event, ended, now);
@@ -109,16 +111,16 @@
     void take(const SpreadEvent& event, Time now) {
         const auto found = destinations_.find(event.destination);
         if (found == destinations_.end()) return;
-        found->second.spread = !event.parts.empty();
+        found->second.subsetted = !event.parts.empty();
         for (const EndpointId id : found->second.endpoints) endpoints_.at(id).weight = 0.0;
         for (const auto& part : event.parts)
             if (found->second.endpoints.contains(part.endpoint)) {
                 Endpoint& endpoint = endpoints_.at(part.endpoint);
-                endpoint.weight = part.weight, endpoint.own.sharers = part.sharers;
+                endpoint.weight = part.weight, endpoint.own_route.sharers = part.sharers;
             }
         touch(event.destination, now);
     }
-    void take(const LearnedEvent& event, Time now) { learn_from(*this, event, now); }
+    void take(const LearnedEvent& event, Time now) { merge_learned(*this, event, now); }
     void take(const SettingsEvent& event, Time) {
         settings_ = checked(event.settings);
         quota_tags_.resize(settings_.tenants.size(), kLongAgo);
@@ -168,7 +170,7 @@
                 destinations_[entry.destination].in_flight += endpoint.in_flight;
             }
         endpoint.destination = entry.destination;
-        Destination& destination = *(endpoint.home = &destinations_[entry.destination]);
+        Destination& destination = *(endpoint.destination_record = &destinations_[entry.destination]);
         endpoint.zone = entry.zone, endpoint.kind = entry.kind, endpoint.condition = entry.condition;
         endpoint.known_as = entry.known_as;
         gone ? void(destination.endpoints.erase(entry.endpoint))
@@ -176,20 +178,21 @@
         if (apart(endpoint) && entry.known_as != 0) by_name_[told_as(endpoint)] = entry.endpoint;
         if (settings_.listed_rates) {
             if (entry.rate > 0) destination.weight = entry.rate;
-            Route& route = apart(endpoint) ? endpoint.own : destination.shared;
-            if (route.known == 0.0) route.known = entry.rate;
+            Route& route = apart(endpoint) ? endpoint.own_route : destination.shared_route;
+            if (route.known_limit == 0.0) route.known_limit = entry.rate;
         }
         if (entry.cold) {  // all senders know that it was out
-            endpoint.health = Health::Sick, endpoint.failure_seen = true, endpoint.knowing = 1.0;
-            endpoint.fell = kLongAgo, fall_sick(endpoint, now);
+            endpoint.health = Health::Unhealthy, endpoint.failure_seen = true, endpoint.aware_share = 1.0;
+            endpoint.unhealthy_since = kLongAgo, fall_sick(endpoint, now);
         }
         touch(entry.destination, now);
     }
     void name(Endpoint& endpoint, std::optional<DestinationId> to) {
-        if (endpoint.named && to == endpoint.destination) return;
-        if (endpoint.named && --endpoint.home->named == 0) unnamed_.insert(endpoint.destination);
-        endpoint.named = to.has_value();
-        if (to && destinations_[*to].named++ == 0) unnamed_.erase(*to);
+        if (endpoint.is_counted && to == endpoint.destination) return;
+        if (endpoint.is_counted && --endpoint.destination_record->endpoint_count == 0)
+            unnamed_.insert(endpoint.destination);
+        endpoint.is_counted = to.has_value();
+        if (to && destinations_[*to].endpoint_count++ == 0) unnamed_.erase(*to);
     }
     // What no list, call, doubt or message names any more is forgotten, if nothing of it is worth knowing.
     void tidy(Time now) {
@@ -204,8 +207,8 @@
         });
         std::erase_if(unnamed_, [&](DestinationId id) {
             const Destination& destination = destinations_.at(id);
-            const Time last = std::max({destination.asked_at, destination.last_served,
-                destination.shared.wait_until, destination.shared.limit_tag});
+            const Time last = std::max({destination.last_message_at, destination.last_served,
+                destination.shared_route.wait_until, destination.shared_route.limit_tag});
             if (!destination.held.empty() || destination.in_flight != 0 || last + kStateAge > now)
                 return false;
             destinations_.erase(id), limits_.forget(id);
--- a/src/policy/messages.hpp
+++ b/src/policy/messages.hpp
@@ -14,18 +14,19 @@
         const auto found = messages_.find(event.message);
         if (found == messages_.end()) return;
         Message& message = found->second;
-        --message.out;
+        --message.open_attempts;
         if (event.terminal || event.outcome == Outcome::Served) return forget(event.message, now);
         message.not_before = now + pause_after(message, now);
-        if (!never_ran && (!message.doubt_since || call.sent < *message.doubt_since)) {
-            message.doubt_since = call.sent;
+        if (!never_ran && (!message.doubt_since || call.sent_at < *message.doubt_since)) {
+            message.doubt_since = call.sent_at;
             set_doubt(message, call.endpoint);
         }
         changed(event.message, now);
     }
     void set_doubt(Message& message, std::optional<EndpointId> at) {
-        if (message.doubt_at && --doubts_.at(*message.doubt_at) == 0) doubts_.erase(*message.doubt_at);
-        message.doubt_at = at;
+        if (message.doubt_endpoint && --doubts_.at(*message.doubt_endpoint) == 0)
+            doubts_.erase(*message.doubt_endpoint);
+        message.doubt_endpoint = at;
         if (at) ++doubts_[*at];
     }
     // A message has changed: when it ends, when its pause does, and whether it may go stand anew.
@@ -34,37 +35,37 @@
         if (found == messages_.end()) return;
         Message& message = found->second;
         ends_.set(id, ends_at(message));
-        const bool pausing = message.out == 0 && message.not_before > now;
+        const bool pausing = message.open_attempts == 0 && message.not_before > now;
         pausing ? pauses_.set(id, message.not_before) : pauses_.erase(id);
-        make_ready(
-            id, message, message.out == 0 && !pausing && (!message.key || turn_at(id, *message.key) <= now));
+        make_ready(id, message,
+            message.open_attempts == 0 && !pausing && (!message.key || turn_at(id, *message.key) <= now));
         touch(message.destination, now);
     }
     void make_ready(MessageId id, Message& message, bool is_ready) {
-        if (std::exchange(message.ready, is_ready) == is_ready) return;
+        if (std::exchange(message.in_ready_queue, is_ready) == is_ready) return;
         auto& ready = destinations_.at(message.destination).ready;
         const std::size_t kind = message.message_class;
-        is_ready ? ready.put(kind, message.arrival, message.born, id)
-                 : ready.take(kind, message.arrival, message.born);
+        is_ready ? ready.insert(kind, message.arrival, message.created_at, id)
+                 : ready.erase(kind, message.arrival, message.created_at);
     }
     // Whose turn it is in a key's line, and from when on.
     void line_changed(std::uint64_t key, Time now) {
         const auto found = keys_.find(key);
         if (found == keys_.end()) return rests_.erase(key), stale_lines_.erase(key);
-        const KeyLine& line = found->second;
-        const bool rests = line.rest_until > now;
-        const bool stale = line.turn.empty() && line.out == 0 && rests;
-        stale ? stale_lines_.set(key, line.rest_until) : stale_lines_.erase(key);
-        const bool held_up =
-            !line.turn.empty() && line.out == 0 && rests && line.rest_for != line.turn.front();
-        held_up ? rests_.set(key, line.rest_until) : rests_.erase(key);
-        if (!line.turn.empty()) changed(line.turn.front(), now);
+        const KeyQueue& line = found->second;
+        const bool rests = line.paused_until > now;
+        const bool stale = line.waiting.empty() && line.open_attempts == 0 && rests;
+        stale ? stale_lines_.set(key, line.paused_until) : stale_lines_.erase(key);
+        const bool held_up = !line.waiting.empty() && line.open_attempts == 0 && rests &&
+                             line.pause_exempt != line.waiting.front();
+        held_up ? rests_.set(key, line.paused_until) : rests_.erase(key);
+        if (!line.waiting.empty()) changed(line.waiting.front(), now);
     }
     void hold(DestinationId id, Destination& destination, MessageId message_id, const Message& message) {
         by_held_.erase({destination.held.size(), id});
         destination.held.emplace(message.arrival, message_id);
         by_held_.insert({destination.held.size(), id});
-        ++destination.held_of[message.message_class];
+        ++destination.held_by_class[message.message_class];
     }
     // Doubling; from half of the allowed attempts on, those left are spread over the time left: otherwise
     // they are used up in the middle of a long outage.
@@ -77,23 +78,23 @@
         return std::max(doubled, (message.deadline - now) / (left + 1));
     }
     void settle_key(std::uint64_t key, const OutcomeEvent& event, Time now) {
-        KeyLine& line = keys_.at(key);
-        --line.out;
+        KeyQueue& line = keys_.at(key);
+        --line.open_attempts;
         if (event.outcome == Outcome::NoAnswer || event.outcome == Outcome::ConnectionLost ||
             event.outcome == Outcome::CalledOff)
-            line.rest_until = std::max(line.rest_until, now + settings_.settle_after_doubt),
-            line.rest_for = event.message;
+            line.paused_until = std::max(line.paused_until, now + settings_.settle_after_doubt),
+            line.pause_exempt = event.message;
         drop_line(key, now);
         line_changed(key, now);
     }
     void drop_line(std::uint64_t key, Time now) {
-        const KeyLine& line = keys_.at(key);
-        if (line.turn.empty() && line.out == 0 && line.rest_until <= now) keys_.erase(key);
+        const KeyQueue& line = keys_.at(key);
+        if (line.waiting.empty() && line.open_attempts == 0 && line.paused_until <= now) keys_.erase(key);
     }
     Time turn_at(MessageId id, std::uint64_t key) const {
-        const KeyLine& line = keys_.at(key);
-        if (line.out > 0 || line.turn.front() != id) return kNever;
-        return line.rest_for == id ? kLongAgo : line.rest_until;
+        const KeyQueue& line = keys_.at(key);
+        if (line.open_attempts > 0 || line.waiting.front() != id) return kNever;
+        return line.pause_exempt == id ? kLongAgo : line.paused_until;
     }
     Time resend_until(const Message& message) const {
         const ClassSettings& kind = settings_.classes[message.message_class];
@@ -108,12 +109,12 @@
         for (const MessageId id : over) end(id, now);
     }
     Time ends_at(const Message& message) const {
-        if (message.out > 0) return message.deadline;
+        if (message.open_attempts > 0) return message.deadline;
         if (message.attempts >= terms(message).max_attempts) return kLongAgo;
         return std::min(message.deadline, resend_until(message));
     }
     bool may_refuse(const Message& message) const {
-        if (message.out == 0 && !message.doubt_since) return true;
+        if (message.open_attempts == 0 && !message.doubt_since) return true;
         const ClassSettings& kind = settings_.classes[message.message_class];
         return kind.effect == Effect::Retryable ||
                (kind.effect == Effect::Dedup && kind.dedup_scope == DedupScope::All);
@@ -145,12 +146,12 @@
         ends_.erase(id), pauses_.erase(id);
         by_held_.erase({destination.held.size(), destination_id});
         destination.held.erase(message.arrival);
-        --destination.held_of[message.message_class];
+        --destination.held_by_class[message.message_class];
         const std::size_t held = destination.held.size();
         held == 0 ? deactivate(destination_id, destination) : void(by_held_.insert({held, destination_id}));
         const auto key = message.key;
         if (key) {
-            std::deque<MessageId>& turn = keys_.at(*key).turn;
+            std::deque<MessageId>& turn = keys_.at(*key).waiting;
             turn.front() == id ? turn.pop_front() : void(std::erase(turn, id));
             drop_line(*key, now);
         }
--- a/src/policy/room.hpp
+++ b/src/policy/room.hpp
@@ -10,7 +10,7 @@
 
     // A tenant's own part of its quota, as a tag that may run ahead by kQuotaBurst.
     bool over_quota(std::size_t index, Time now) {
-        const Time gap = gap_of(settings_.tenants[index].quota_per_s / senders());
+        const Time gap = interval_of(settings_.tenants[index].quota_per_s / senders());
         const Time next = std::max(quota_tags_[index], now) + gap;
         if (next > now + std::max(gap, kQuotaBurst)) return true;
         quota_tags_[index] = next;
@@ -36,7 +36,7 @@
         for (const auto& [destination_id, destination] : active_) {
             Time turn = now + stalled(*destination, now);
             for (const auto& [arrival, id] : destination->held)
-                weigh(least, id, turn += gap_of(drain_rate(*destination)));
+                weigh(least, id, turn += interval_of(drain_rate(*destination)));
         }
         return least.id;
     }
@@ -55,7 +55,7 @@
         return least.id;
     }
     void weigh_ends(Least& least, const Destination& destination, Time now) const {
-        const Time start = now + stalled(destination, now), gap = gap_of(drain_rate(destination));
+        const Time start = now + stalled(destination, now), gap = interval_of(drain_rate(destination));
         const auto size = static_cast<Time::rep>(destination.held.size());
         auto first = destination.held.begin();
         auto last = destination.held.rbegin();
@@ -66,7 +66,7 @@
     }
     void weigh(Least& least, MessageId id, Time turn) const {
         const Message& message = messages_.at(id);
-        if (message.out > 0 || message.doubt_since) return;
+        if (message.open_attempts > 0 || message.doubt_since) return;
         const double worth = worth_of(message, turn);
         if (!least.id || worth < least.worth) least = {id, worth};
     }
--- a/src/policy/state.hpp
+++ b/src/policy/state.hpp
@@ -11,13 +11,13 @@
 #include <unordered_map>
 #include <utility>
 
-#include "base/mix.hpp"
-#include "base/worth.hpp"
+#include "base/splitmix64.hpp"
+#include "base/value_decay.hpp"
 #include "containers/due_queue.hpp"
 #include "rate_limits/fair_share.hpp"
 #include "rate_limits/gossip_schedule.hpp"
-#include "records/learned.hpp"
-#include "records/spill.hpp"
+#include "records/merge_learned.hpp"
+#include "records/spillover.hpp"
 
 namespace cometspoke::policy {
 
@@ -106,35 +106,41 @@
     DestinationId told_as(const Endpoint& one) const {
         return apart(one) ? static_cast<DestinationId>(one.known_as) : one.destination;
     }
-    Route& route_of(Endpoint& endpoint) { return apart(endpoint) ? endpoint.own : endpoint.home->shared; }
+    Route& route_of(Endpoint& endpoint) {
+        return apart(endpoint) ? endpoint.own_route : endpoint.destination_record->shared_route;
+    }
     // l: an even part of the limit times what was learned. Without a known limit it is unbounded (0) until
     // the first refusal, and what the destination is seen to take stands for it.
     double limit(const Route& route, const Destination& destination) const {
-        if (route.heard > 0 && route.left >= 0) {
+        if (route.reported_limit > 0 && route.reported_remaining >= 0) {
             const double told = lockgw::rate_limits::fair_share(
-                route.left, destination.held.size(), destination.in_flight, tells());
-            const double learned =
-                route.gain > 0 ? std::max(lockgw::rate_limits::kMinShare, route.gain) : senders();
-            return route.heard / sharers(route) * std::min(learned, told);
+                route.reported_remaining, destination.held.size(), destination.in_flight, tells());
+            const double learned = route.share_factor > 0
+                                       ? std::max(lockgw::rate_limits::kMinShare, route.share_factor)
+                                       : senders();
+            return route.reported_limit / sharers(route) * std::min(learned, told);
         }
-        if (route.gain == 0.0) return route.known;
-        return capacity(route, destination) / sharers(route) * route.gain;
+        if (route.share_factor == 0.0) return route.known_limit;
+        return capacity(route, destination) / sharers(route) * route.share_factor;
     }
     double capacity(const Route& route, const Destination& destination) const {
-        return route.known > 0 ? route.known : std::max(kLeastCapacity, destination.served_rate * senders());
+        return route.known_limit > 0 ? route.known_limit
+                                     : std::max(kLeastCapacity, destination.served_rate * senders());
     }
     bool tells() const { return settings_.notes && settings_.n_instances >= kNotesFrom; }
     void retag(Route& route, const Destination& destination) const {
-        route.limit_tag = route.paced_from + from_seconds(route.paced_by / limit(route, destination));
+        route.limit_tag =
+            route.limit_tag_base + from_seconds(route.limit_tag_intervals / limit(route, destination));
     }
     // Among equals each sender goes by an order of its own, lest all prefer the same one.
     std::uint64_t rank_of(EndpointId id) const {
-        return own_ == 0 ? id : lockgw::mixed(own_ ^ lockgw::mixed(id));
+        return own_ == 0 ? id : lockgw::splitmix64(own_ ^ lockgw::splitmix64(id));
     }
     double sharers(const Route& route) const { return route.sharers > 0 ? route.sharers : senders(); }
     double senders() const { return static_cast<double>(settings_.n_instances); }
     double usual(const Destination& destination) const {
-        const double known = destination.usual > 0 ? destination.usual : overall_usual_;
+        const double known =
+            destination.typical_latency_s > 0 ? destination.typical_latency_s : overall_usual_;
         return std::max(known > 0 ? known : seconds(kFirstUsual), seconds(kLeastUsual));
     }
     // w by what a call brings for the time of its slot, and by that time: the slow must not hold up the
@@ -156,7 +162,7 @@
     // Failing or slow: an endpoint is not well (silent, failing, or warming up).
     bool ailing(const Destination& destination) const {
         return std::any_of(destination.endpoints.begin(), destination.endpoints.end(),
-            [this](EndpointId id) { return endpoints_.at(id).health != Health::Well; });
+            [this](EndpointId id) { return endpoints_.at(id).health != Health::Healthy; });
     }
     double drain_rate(const Destination& destination) const {
         return std::max(kLeastDrain, destination.served_rate);
@@ -170,16 +176,16 @@
     double worth_of(const Message& message, Time served) const {
         const ClassSettings& kind = settings_.classes[message.message_class];
         if (served >= message.deadline) return 0.0;
-        const double worth = kind.worth * (message.over_share ? settings_.over_share_worth : 1.0);
-        return worth * worth_left(kind, settings_.loses_worth, message.born, served);
+        const double worth = kind.worth * (message.over_quota ? settings_.over_share_worth : 1.0);
+        return worth * remaining_value(kind, settings_.loses_worth, message.created_at, served);
     }
     // The connection used last is taken first; the freshest closes last.
     static bool has_idle(const Endpoint& endpoint, Time now) {
-        return !endpoint.idle.empty() && endpoint.idle.back() > now;
+        return !endpoint.idle_expiries.empty() && endpoint.idle_expiries.back() > now;
     }
     static void take_connection(Endpoint& endpoint, Time now) {
-        if (has_idle(endpoint, now)) return endpoint.idle.pop_back();
-        endpoint.idle.clear();
+        if (has_idle(endpoint, now)) return endpoint.idle_expiries.pop_back();
+        endpoint.idle_expiries.clear();
     }
 
     Settings settings_;
@@ -187,8 +193,8 @@
     std::uint64_t own_;  // drawn for this sender alone
     std::unordered_map<DestinationId, Destination> destinations_;
     std::map<DestinationId, Destination*> active_;  // those that hold messages,
-    Order by_share_;                                // all of them by share tag,
-    Order well_, sick_idle_, sick_busy_;            // and those that are not parked, apart
+    SchedulingOrder by_share_;                      // all of them by share tag,
+    SchedulingOrder well_, sick_idle_, sick_busy_;  // and those that are not parked, apart
     Time share_shift_{0};                           // their share tags are kept less this
     std::set<std::pair<std::size_t, DestinationId>> by_held_;
     std::set<DestinationId> unnamed_;  // of all: those that no endpoint names
@@ -200,7 +206,7 @@
     int sick_calls_ = 0, watch_tries_ = 0;
     std::unordered_map<EndpointId, Endpoint> endpoints_;
     std::unordered_map<MessageId, Message> messages_;
-    std::map<std::uint64_t, KeyLine> keys_;
+    std::map<std::uint64_t, KeyQueue> keys_;
     std::map<std::pair<MessageId, std::uint32_t>, Attempt> attempts_;
     std::map<std::uint64_t, Call> calls_;
     std::vector<Time> quota_tags_;              // by tenant
--- a/src/policy/tags.hpp
+++ b/src/policy/tags.hpp
@@ -22,14 +22,15 @@
         due == kNever ? dues_.erase(id) : dues_.set(id, due);
     }
     void enter_order(DestinationId id, Destination& destination) {
-        destination.order = !ailing(destination)         ? &well_
-                            : destination.in_flight == 0 ? &sick_idle_
-                                                         : &sick_busy_;
-        destination.order->insert({destination.share_tag, id});
+        destination.scheduling_order = !ailing(destination)         ? &well_
+                                       : destination.in_flight == 0 ? &sick_idle_
+                                                                    : &sick_busy_;
+        destination.scheduling_order->insert({destination.share_tag, id});
     }
     void leave_order(DestinationId id, Destination& destination) {
-        if (destination.order != nullptr) destination.order->erase({destination.share_tag, id});
-        destination.order = nullptr;
+        if (destination.scheduling_order != nullptr)
+            destination.scheduling_order->erase({destination.share_tag, id});
+        destination.scheduling_order = nullptr;
     }
     void set_share_tag(DestinationId id, Destination& destination, Time tag) {
         leave_order(id, destination);
@@ -44,7 +45,7 @@
         const double w = slot_weight(newcomer);
         newcomer.reservation_tag = std::max(newcomer.reservation_tag, now);
         newcomer.share_tag = std::max(newcomer.share_tag, now - from_seconds(kSigma / w));
-        newcomer.shared.limit_tag = std::max(newcomer.shared.limit_tag, now);
+        newcomer.shared_route.limit_tag = std::max(newcomer.shared_route.limit_tag, now);
         // all others shift at once: their tags are kept less this sum
         if (!by_share_.empty())
             share_shift_ += newcomer.share_tag - (by_share_.begin()->first + share_shift_);
@@ -71,18 +72,18 @@
     }
     int sick_calls() const {
         return static_cast<int>(std::count_if(calls_.begin(), calls_.end(),
-            [this](const auto& entry) { return ailing(*entry.second.at->home); }));
+            [this](const auto& entry) { return ailing(*entry.second.endpoint_record->destination_record); }));
     }
     // The earliest moment after now at which a tag, wait or budget of the destination falls due.
     Time next_due(const Destination& destination, Time now) {
-        Time next = destination.spill_tag > now ? destination.spill_tag : kNever;
+        Time next = destination.spillover_tag > now ? destination.spillover_tag : kNever;
         if (settings_.floor_per_s > 0 && destination.reservation_tag > now)
             next = destination.reservation_tag;
         for (const EndpointId id : destination.endpoints) {
             Endpoint& endpoint = endpoints_.at(id);
             const Route& route = route_of(endpoint);
             for (const Time due : {route.limit_tag, route.wait_until,
-                     endpoint.health != Health::Well ? endpoint.cold_tag : now})
+                     endpoint.health != Health::Healthy ? endpoint.recovery_tag : now})
                 if (due > now) next = std::min(next, due);
         }
         return next;
--- a/src/policy/turns.hpp
+++ b/src/policy/turns.hpp
@@ -36,8 +36,8 @@
     // Who cannot go now is parked until something of it changes: no one is looked at twice in vain.
     std::optional<Pick> by_share(Time now) {
         while (true) {
-            Order* first = nullptr;
-            for (Order* order : {&well_, &sick_idle_, &sick_busy_}) {
+            SchedulingOrder* first = nullptr;
+            for (SchedulingOrder* order : {&well_, &sick_idle_, &sick_busy_}) {
                 if (order->empty() || (order != &well_ && !sick_order_may_go(order == &sick_idle_))) continue;
                 if (first == nullptr || *order->begin() < *first->begin()) first = order;
             }
@@ -58,10 +58,12 @@
         ++endpoint.in_flight;
         ++destination.in_flight;
         take_connection(endpoint, now);
-        endpoint.often = now - std::exchange(endpoint.used, now) < settings_.conn_idle / kReuse;
-        if (ailing(*endpoint.home)) ++sick_calls_;
+        endpoint.frequently_called =
+            now - std::exchange(endpoint.last_call_at, now) < settings_.conn_idle / kReuse;
+        if (ailing(*endpoint.destination_record)) ++sick_calls_;
         if (const double w = endpoint.weight; w > 0)
-            endpoint.turn = std::max(endpoint.turn, ++destination.turn - kMostBehind / w) + 1.0 / w;
+            endpoint.virtual_finish =
+                std::max(endpoint.virtual_finish, ++destination.virtual_time - kMostBehind / w) + 1.0 / w;
         send(pick.message, pick.endpoint, call_id, now);
         fill_call(destination, pick.endpoint, call_id, now);
         step_tags(pick.destination, destination, endpoint, now);
@@ -69,36 +71,36 @@
     }
     void step_tags(DestinationId id, Destination& destination, Endpoint& endpoint, Time now) {
         Route& route = route_of(endpoint);
-        const Time gap = gap_of(limit(route, destination));
-        route.paced_from = std::max(route.limit_tag, now - gap), route.paced_by = 1.0;
-        route.limit_tag = route.paced_from + gap;
-        if (endpoint.weight == 0) spilled(destination, senders(), ailing(destination), now);
-        if (endpoint.health != Health::Well) spend_budget(endpoint, now);
+        const Time gap = interval_of(limit(route, destination));
+        route.limit_tag_base = std::max(route.limit_tag, now - gap), route.limit_tag_intervals = 1.0;
+        route.limit_tag = route.limit_tag_base + gap;
+        if (endpoint.weight == 0) record_spillover(destination, senders(), ailing(destination), now);
+        if (endpoint.health != Health::Healthy) spend_budget(endpoint, now);
         const double w = slot_weight(destination);
         const Time tag = destination.share_tag + share_shift_;
         set_share_tag(
-            id, destination, std::max(tag + gap_of(w), now - from_seconds(kSigma / w)) - share_shift_);
+            id, destination, std::max(tag + interval_of(w), now - from_seconds(kSigma / w)) - share_shift_);
         if (settings_.floor_per_s <= 0) return;
-        const Time step = gap_of(settings_.floor_per_s);
+        const Time step = interval_of(settings_.floor_per_s);
         destination.reservation_tag = std::max(destination.reservation_tag + step, now);
         if (!reserved_) destination.reservation_tag -= step;  // served by share: 1/r is taken off again
     }
     void send(MessageId id, EndpointId to, std::uint64_t call_id, Time now) {
         Message& message = messages_.at(id);
         attempts_.emplace(std::pair(id, message.attempts), Attempt{call_id, message.key, false});
-        ++message.attempts, ++message.out;
-        ++calls_.at(call_id).out;
-        if (message.key) ++keys_[*message.key].out, line_changed(*message.key, now);
+        ++message.attempts, ++message.open_attempts;
+        ++calls_.at(call_id).open_attempts;
+        if (message.key) ++keys_[*message.key].open_attempts, line_changed(*message.key, now);
         changed(id, now);
         actions_.emplace_back(Send{id, to, time_out(message, now), resend_until(message)});
     }
     // Where a call may carry several messages, the next ones in order travel along.
     void fill_call(Destination& destination, EndpointId to, std::uint64_t call_id, Time now) {
         const std::size_t most = settings_.kinds[endpoints_.at(to).kind].per_call;
-        if (most < 2 || endpoints_.at(to).health == Health::Sick) return;
-        std::size_t room = most - std::min(most, calls_.at(call_id).out);
+        if (most < 2 || endpoints_.at(to).health == Health::Unhealthy) return;
+        std::size_t room = most - std::min(most, calls_.at(call_id).open_attempts);
         std::vector<MessageId> along;
-        destination.ready.each([&](MessageId id) {
+        destination.ready.for_each([&](MessageId id) {
             const Message& message = messages_.at(id);
             if (along.size() < room && ready(id, message, now) && may_go(message, to)) along.push_back(id);
             return along.size() < room;
@@ -128,9 +130,9 @@
             return !best || backlog != Time(0);
         };
         if (backlog == Time(0) || destination.ready.size() <= kExactReady)
-            destination.ready.each(look);
+            destination.ready.for_each(look);
         else  // many wait: those at the front, and of each class those round its aim, where most is lost
-            destination.ready.some(
+            destination.ready.for_each_sampled(
                 kLookAround, [&](std::size_t kind) { return now - settings_.classes[kind].aim; }, look);
         return best;
     }
@@ -138,7 +140,7 @@
     Time backlog_of(const Destination& destination) const {
         if (destination.served_rate <= 0) return Time(0);  // nothing is known yet: the ordinary path
         Time shortest = kNever;
-        for (const auto& [kind, count] : destination.held_of)
+        for (const auto& [kind, count] : destination.held_by_class)
             if (count > 0) shortest = std::min(shortest, settings_.classes[kind].aim);
         const double held = static_cast<double>(destination.held.size()) - destination.in_flight;
         const Time backlog = from_seconds(std::max(0.0, held) / drain_rate(destination));
@@ -146,7 +148,7 @@
     }
     // Not out, its pause over, its key's turn, and inside its window if it may have run.
     bool ready(MessageId id, const Message& message, Time now) const {
-        if (message.out > 0 || message.not_before > now || message.deadline <= now) return false;
+        if (message.open_attempts > 0 || message.not_before > now || message.deadline <= now) return false;
         if (message.attempts >= terms(message).max_attempts) return false;
         if (now > resend_until(message)) return false;
         return !message.key || turn_at(id, *message.key) <= now;
@@ -157,7 +159,9 @@
             if (open(id, now) && !(limited && lacks_limit(endpoints_.at(id), now))) all.push_back(id);
         return all;
     }
-    bool lacks_limit(Endpoint& e, Time now) { return route_of(e).limit_tag > now || spills_early(e, now); }
+    bool lacks_limit(Endpoint& e, Time now) {
+        return route_of(e).limit_tag > now || spillover_blocked(e, now);
+    }
     std::optional<EndpointId> endpoint_for(
         const std::vector<EndpointId>& open_now, const Message& message, Time now) const {
         std::optional<EndpointId> best;
@@ -173,20 +177,22 @@
     // turn by its part of the calls.
     double cost_of(const Endpoint& endpoint, Time now) const {
         double cost = endpoint.in_flight;
-        if (endpoint.home->spread)
+        if (endpoint.destination_record->subsetted)
             cost += endpoint.weight > 0 ? kAhead * std::max(-kMostBehind, ahead_of(endpoint)) : kNotNamed;
         if (!has_idle(endpoint, now)) cost += kNewConnection;
         if (settings_.zone && endpoint.zone != *settings_.zone) cost += kOtherZone;
-        if (endpoint.health != Health::Well) cost += 1.0;
+        if (endpoint.health != Health::Healthy) cost += 1.0;
         return cost;
     }
     // In calls, of its part of those to its destination.
-    static double ahead_of(const Endpoint& one) { return (one.turn - one.home->turn) * one.weight; }
+    static double ahead_of(const Endpoint& one) {
+        return (one.virtual_finish - one.destination_record->virtual_time) * one.weight;
+    }
     // Listed as ready, no told wait, and its fall-back budget not spent.
     bool open(EndpointId id, Time now) {
         Endpoint& endpoint = endpoints_.at(id);
         if (endpoint.condition != Condition::Ready || route_of(endpoint).wait_until > now) return false;
-        return endpoint.health == Health::Well || endpoint.cold_tag <= now;
+        return endpoint.health == Health::Healthy || endpoint.recovery_tag <= now;
     }
     // Fragile messages keep away from endpoints that fail; dedup resends keep to the scope of the first.
     bool may_go(const Message& message, EndpointId to) const {
@@ -194,12 +200,13 @@
         const Endpoint& endpoint = endpoints_.at(to);
         if (message.route - 1 < routes_.size() && !routes_[message.route - 1].contains(to)) return false;
         if (kind.effect == Effect::Fragile &&
-            (endpoint.failing > kFragileBar || endpoint.health == Health::Sick))
+            (endpoint.failure_rate > kFragileBar || endpoint.health == Health::Unhealthy))
             return false;
         if (kind.effect != Effect::Dedup || !message.doubt_since || kind.dedup_scope == DedupScope::All)
             return true;
-        if (kind.dedup_scope == DedupScope::Endpoint) return message.doubt_at == to;
-        const auto first = message.doubt_at ? endpoints_.find(*message.doubt_at) : endpoints_.end();
+        if (kind.dedup_scope == DedupScope::Endpoint) return message.doubt_endpoint == to;
+        const auto first =
+            message.doubt_endpoint ? endpoints_.find(*message.doubt_endpoint) : endpoints_.end();
         return first != endpoints_.end() && first->second.zone == endpoint.zone;
     }
     // Calls that can be dropped later, and those that may not be repeated, are waited for to the end.
@@ -219,15 +226,15 @@
         for (auto& [name, attempt] : attempts_) {
             const Call& call = calls_.at(attempt.call);
             const auto found = messages_.find(name.first);
-            if (attempt.dropped || found == messages_.end()) continue;
-            const Endpoint& endpoint = *call.at;
-            const Destination& destination = *endpoint.home;
+            if (attempt.cancelled || found == messages_.end()) continue;
+            const Endpoint& endpoint = *call.endpoint_record;
+            const Destination& destination = *endpoint.destination_record;
             const bool passed = jammed && call.overtaken;
             const Time longest = patience(destination, passed);
-            if (now - call.sent < longest || !(jammed || may_repeat(found->second, call, now))) continue;
-            const bool lost = endpoint.last_good > call.sent + longest;
-            if (!passed && !lost && !(scarce && endpoint.health != Health::Well)) continue;
-            attempt.dropped = true;
+            if (now - call.sent_at < longest || !(jammed || may_repeat(found->second, call, now))) continue;
+            const bool lost = endpoint.last_success_at > call.sent_at + longest;
+            if (!passed && !lost && !(scarce && endpoint.health != Health::Healthy)) continue;
+            attempt.cancelled = true;
             actions_.emplace_back(CancelAttempt{name.first, name.second});
         }
     }
@@ -235,7 +242,8 @@
         const ClassSettings& kind = settings_.classes[message.message_class];
         if (message.attempts >= kind.max_attempts || kind.effect == Effect::Fragile) return false;
         if (kind.effect == Effect::Retryable) return true;
-        return now + kDropTrip < std::min(call.sent, message.doubt_since.value_or(call.sent)) + kind.window;
+        return now + kDropTrip <
+               std::min(call.sent_at, message.doubt_since.value_or(call.sent_at)) + kind.window;
     }
     // Idle connections count against an endpoint's allowance, and those of many senders fill it: they are
     // closed where they would seldom be used or connects were refused. Costs a handshake where traffic is
@@ -243,9 +251,10 @@
     void close_idle(Time now) {
         for (const EndpointId id : std::exchange(freed_, {})) {
             Endpoint& endpoint = endpoints_.at(id);
-            const bool used = endpoint.often || endpoint.weight > 0;
-            if (endpoint.idle.empty() || (used && now - unconnected_[endpoint.kind] > kRecent)) continue;
-            endpoint.idle.clear();
+            const bool used = endpoint.frequently_called || endpoint.weight > 0;
+            if (endpoint.idle_expiries.empty() || (used && now - unconnected_[endpoint.kind] > kRecent))
+                continue;
+            endpoint.idle_expiries.clear();
             actions_.emplace_back(CloseIdle{id});
         }
     }
--- a/src/program/load.hpp
+++ b/src/program/load.hpp
@@ -10,7 +10,7 @@
 
 #include "config/config.hpp"
 #include "config/operator_file.hpp"
-#include "core/standing.hpp"
+#include "core/subset_parameters.hpp"
 #include "routes/expectations.hpp"
 
 namespace lockgw::program {
@@ -31,7 +31,7 @@
     routes::Known known;
     routes::Table table;
     routes::Members members;
-    routes::Scene scene() const { return {file, table, known, members, standing_of(config)}; }
+    routes::Scene scene() const { return {file, table, known, members, subset_parameters(config)}; }
 };
 
 /// None where there is any problem. `progress`: see routes::run_expectations.
--- a/src/program/service.cpp
+++ b/src/program/service.cpp
@@ -32,7 +32,7 @@
 
 config::PlanScene plan_scene(Forwarder& forwarder) {
     config::PlanScene scene;
-    scene.members = forwarder.work().members();
+    scene.members = forwarder.work().member_count();
     for (const auto& [destination, members] : forwarder.members().all())
         for (const auto& one : members) scene.targets.push_back({one.id, destination, 1});
     scene.whole = !scene.targets.empty();
@@ -181,12 +181,12 @@
         wrong.empty() ? promise(Json{{"done", what}}) : promise(control::Refused(wrong));
     };
     if (what == "request")
-        return forwarder_.work().request(args.value("for_s", 600.0), args.value("why", ""), told);
+        return forwarder_.work().request_for_self(args.value("for_s", 600.0), args.value("why", ""), told);
     if (what != "plan") return forwarder_.work().order(what, args.value("machine", ""), told);
     config::Problems problems(args.value("name", "the plan"));
     const auto plan = config::read_plan(args.value("text", ""), plan_scene(forwarder_), problems);
     if (!plan) return told(problems.text());
-    forwarder_.work().plan(work::bytes_of(*plan), args.value("approve", false), told);
+    forwarder_.work().submit_plan(work::bytes_of(*plan), args.value("approve", false), told);
 }
 Json Service::status() const {
     Json all = forwarder_.status();
--- a/src/recovery/learning.cpp
+++ b/src/recovery/learning.cpp
@@ -19,7 +19,7 @@
 Time then(const std::optional<Time>& age, Time now) { return age ? now - *age : kLongAgo; }
 
 Limit limit_of(const Route& route, const State& state, cometspoke::DestinationId told_as, Time now) {
-    Limit limit{route.known, route.gain, route.heard, route.left, {}};
+    Limit limit{route.known_limit, route.share_factor, route.reported_limit, route.reported_remaining, {}};
     if (const auto report = state.limits_.find(told_as)) limit.age = ago(report->observed_at, now);
     return limit;
 }
@@ -35,27 +35,28 @@
     Snapshot all;
     all.usual_s = state.overall_usual_;
     for (auto& [number, endpoint] : state.endpoints_) {
-        if (endpoint.home == nullptr || !endpoint.named) continue;
-        const bool apart = state.apart(endpoint), well = endpoint.health == Health::Well;
+        if (endpoint.destination_record == nullptr || !endpoint.is_counted) continue;
+        const bool apart = state.apart(endpoint), well = endpoint.health == Health::Healthy;
         TargetFact fact;
-        if (apart) fact.limit = limit_of(endpoint.own, state, state.told_as(endpoint), now);
+        if (apart) fact.limit = limit_of(endpoint.own_route, state, state.told_as(endpoint), now);
         if (well && !fact.limit.any()) continue;
         const std::string* name = names(number);
         if (name == nullptr) continue;
         fact.id = *name, fact.destination = endpoint.destination;
         if (!well)
-            fact.outage =
-                Outage{endpoint.health == Health::Returning, endpoint.failure_seen, endpoint.failing,
-                    endpoint.knowing, endpoint.refused_row, ago(endpoint.fell, now).value_or(Time(0)),
-                    ago(endpoint.last_good, now), ago(endpoint.heard, now), ago(endpoint.returned, now),
-                    endpoint.cold_tag > now ? endpoint.cold_tag - now : Time(0)};
+            fact.outage = Outage{endpoint.health == Health::Recovering, endpoint.failure_seen,
+                endpoint.failure_rate, endpoint.aware_share, endpoint.consecutive_refusals,
+                ago(endpoint.unhealthy_since, now).value_or(Time(0)), ago(endpoint.last_success_at, now),
+                ago(endpoint.last_outcome_at, now), ago(endpoint.recovery_start, now),
+                endpoint.recovery_tag > now ? endpoint.recovery_tag - now : Time(0)};
         all.targets.push_back(std::move(fact));
     }
     for (const auto& [number, one] : state.destinations_) {
-        DestinationFact fact{number, limit_of(one.shared, state, number, now), one.usual, one.served_rate, 0};
-        if (const auto age = ago(one.asked_at, now))  // as of now
-            fact.asked_per_s = one.asked * std::exp(-std::chrono::duration<double>(*age).count() /
-                                                    cometspoke::policy::kMemory_s);
+        DestinationFact fact{number, limit_of(one.shared_route, state, number, now), one.typical_latency_s,
+            one.served_rate, 0};
+        if (const auto age = ago(one.last_message_at, now))  // as of now
+            fact.asked_per_s = one.message_rate * std::exp(-std::chrono::duration<double>(*age).count() /
+                                                           cometspoke::policy::kMemory_s);
         if (fact.limit.any() || fact.usual_s > 0) all.destinations.push_back(fact);
     }
     return all;
--- a/src/recovery/snapshot.cpp
+++ b/src/recovery/snapshot.cpp
@@ -6,7 +6,7 @@
 #include <functional>
 #include <nlohmann/json.hpp>
 
-#include "base/mix.hpp"
+#include "base/splitmix64.hpp"
 
 namespace lockgw::recovery {
 namespace {
@@ -78,7 +78,7 @@
             Json::array({one.number, of(one.limit), one.usual_s, one.served_per_s, one.asked_per_s}));
     }
     const Moment& at = snapshot.at;
-    const auto packed = Json::to_msgpack({{"at", {at.steady.count(), at.wall.count(), at.boot}},
+    const auto packed = Json::to_msgpack({{"at", {at.steady.count(), at.wall.count(), at.boot_id}},
         {"held", snapshot.held}, {"orders", snapshot.orders}, {"usual", snapshot.usual_s},
         {"targets", std::move(targets)}, {"destinations", std::move(destinations)}});
     const std::string body(packed.begin(), packed.end());
@@ -124,7 +124,9 @@
 
 std::uint64_t gist_of(const Snapshot& snapshot) {
     std::uint64_t gist = snapshot.orders;
-    const auto add = [&gist](std::uint64_t what) { gist = mixed(gist ^ mixed(what + 0x9e3779b97f4a7c15)); };
+    const auto add = [&gist](std::uint64_t what) {
+        gist = splitmix64(gist ^ splitmix64(what + 0x9e3779b97f4a7c15));
+    };
     const auto tenth = [&add](double value) {
         add(value > 0 ? static_cast<std::uint64_t>(std::llround(10 * std::log(value)) + 100'000) : 0);
     };
--- a/src/spread/ring.cpp
+++ b/src/spread/ring.cpp
@@ -5,7 +5,7 @@
 #include <tuple>
 #include <utility>
 
-#include "base/mix.hpp"
+#include "base/splitmix64.hpp"
 
 namespace lockgw::spread {
 namespace {
@@ -15,7 +15,7 @@
 std::uint64_t hash_of(std::string_view text) {  // FNV-1a: the same in every build
     std::uint64_t hash = 0xcbf29ce484222325u;
     for (const char letter : text) hash = (hash ^ static_cast<unsigned char>(letter)) * 0x100000001b3u;
-    return mixed(hash);
+    return splitmix64(hash);
 }
 double turned(double point) { return point - std::floor(point); }
 double share_of(std::uint64_t bits) { return static_cast<double>(bits >> 11) / 9007199254740992.0; }
@@ -25,7 +25,7 @@
 double point_of(std::size_t number, std::size_t of) {
     return of == 0 ? 0 : turned((static_cast<double>(number) + 0.5) / static_cast<double>(of));
 }
-double point_by_chance(std::uint64_t own) { return share_of(mixed(own)); }
+double point_by_chance(std::uint64_t own) { return share_of(splitmix64(own)); }
 
 std::uint64_t known_as(std::string_view id) {
     constexpr std::uint64_t above = std::uint64_t{1} << kNameBits;
@@ -34,7 +34,8 @@
 
 bool Ring::put(const std::string& id, double size) {
     if (!(size > 0 && size < 1e9)) size = 1;
-    const std::uint64_t order = mixed(hash_of(id) ^ mixed(static_cast<std::uint64_t>(destination_)));
+    const std::uint64_t order =
+        splitmix64(hash_of(id) ^ splitmix64(static_cast<std::uint64_t>(destination_)));
     const auto key = std::tie(order, id);
     const auto place = std::lower_bound(segments_.begin(), segments_.end(), key,
         [](const Segment& one, const auto& wanted) { return std::tie(one.order, one.id) < wanted; });
@@ -56,7 +57,7 @@
     const double width = std::min(1.0, std::max(targets / count, 1.0 / many));
     const bool single = targets < kOneTarget && count <= many;
     // destinations of few targets would otherwise all be cut at the same forwarders
-    const double middle = turned(point + share_of(mixed(static_cast<std::uint64_t>(destination_) + 1)));
+    const double middle = turned(point + share_of(splitmix64(static_cast<std::uint64_t>(destination_) + 1)));
     const double from = middle - width / 2, to = middle + width / 2;
     double at = 0, sum = 0;
     for (const Segment& one : segments_) {
--- a/src/store/journal.cpp
+++ b/src/store/journal.cpp
@@ -71,7 +71,7 @@
     Writer& wall(const Moment& value) { return number<std::int64_t>(value.wall.count()); }
     /// The part of a moment that a record has at its end, where an older build does not read it.
     Writer& steady(const Moment& value) {
-        return number<std::int64_t>(value.steady.count()).number<std::uint64_t>(value.boot);
+        return number<std::int64_t>(value.steady.count()).number<std::uint64_t>(value.boot_id);
     }
     Writer& attempt(const std::optional<BegunAttempt>& value) {
         number<std::uint8_t>(value.has_value());
@@ -104,7 +104,7 @@
     void steady(Moment& moment) {
         if (rest_.empty()) return;
         moment.steady = std::chrono::microseconds(number<std::int64_t>());
-        moment.boot = number<std::uint64_t>();
+        moment.boot_id = number<std::uint64_t>();
     }
     std::optional<BegunAttempt> attempt() {
         if (number<std::uint8_t>() == 0) return std::nullopt;
@@ -130,8 +130,8 @@
     writer.number(entry.attempts).attempt(entry.doubt).attempt(entry.out);
     writer.number<std::uint8_t>(entry.notice.has_value());
     if (entry.notice) {
-        writer.number<std::uint8_t>(entry.notice->bounced);
-        writer.number<std::int64_t>(entry.notice->wait.count());
+        writer.number<std::uint8_t>(entry.notice->refused);
+        writer.number<std::int64_t>(entry.notice->retry_after.count());
     }
     writer.steady(message.deadline);
     for (const auto* attempt : {&entry.doubt, &entry.out})
@@ -146,7 +146,7 @@
            message.body.size() + (entry.doubt ? entry.doubt->target.size() : 0) +
            (entry.out ? entry.out->target.size() : 0);
 }
-Notice read_notice(Reader& reader) {
+FinalStatus read_notice(Reader& reader) {
     const bool bounced = reader.number<std::uint8_t>() != 0;
     return {bounced, std::chrono::milliseconds(reader.number<std::int64_t>())};
 }
@@ -206,14 +206,14 @@
     writer.number<MessageId>(0).text(target.substr(0, kLongestTarget)).number(wait.destination);
     for (const auto span : {wait.span, wait.told.steady, wait.told.wall})
         writer.number<std::int64_t>(span.count());
-    return writer.number(wait.told.boot).bytes();
+    return writer.number(wait.told.boot_id).bytes();
 }
 KeptWait read_wait(Reader& reader) {
     KeptWait wait;
     wait.destination = reader.number<std::int64_t>();
     for (auto* span : {&wait.span, &wait.told.steady, &wait.told.wall})
         *span = std::chrono::microseconds(reader.number<std::int64_t>());
-    wait.told.boot = reader.number<std::uint64_t>();
+    wait.told.boot_id = reader.number<std::uint64_t>();
     return wait;
 }
 
@@ -398,9 +398,9 @@
 }
 void Journal::delivered(MessageId id) { write(Writer(Kind::Delivered).number(id).bytes()); }
 void Journal::confirmed(MessageId id) { write(Writer(Kind::Confirmed).number(id).bytes()); }
-void Journal::end(MessageId id, Notice notice) {
+void Journal::end(MessageId id, FinalStatus notice) {
     Writer writer(Kind::Ended);
-    writer.number(id).number<std::uint8_t>(notice.bounced).number<std::int64_t>(notice.wait.count());
+    writer.number(id).number<std::uint8_t>(notice.refused).number<std::int64_t>(notice.retry_after.count());
     write(writer.bytes());
 }
 
@@ -493,7 +493,7 @@
         return ::open(fresh.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC | O_APPEND, 0600);
     };
     Descriptor file(open());
-    if (file.get() < 0 && out_of_descriptors(errno) && spare_.give_back()) file = Descriptor(open());
+    if (file.get() < 0 && out_of_descriptors(errno) && spare_.release()) file = Descriptor(open());
     if (file.get() < 0) return false;
     std::error_code failed;
     if (write_all(file.get(), bytes)) {
@@ -501,7 +501,7 @@
         if (!failed) {
             file_ = std::move(file);
             file = Descriptor();  // the old file's: the spare one takes its place
-            spare_.take();
+            spare_.acquire();
             size_ = bytes.size();
             pending_.clear();  // the entries hold what it says
             only_pending_.clear();
--- a/src/store/journal.hpp
+++ b/src/store/journal.hpp
@@ -22,7 +22,7 @@
 #include <vector>
 
 #include "base/clocks.hpp"
-#include "base/notice.hpp"
+#include "base/final_status.hpp"
 #include "base/spare_descriptor.hpp"
 #include "cometspoke/sender.hpp"
 
@@ -51,7 +51,7 @@
     std::uint32_t attempts = 0;
     std::optional<BegunAttempt> doubt;  ///< the first attempt that may have run
     std::optional<BegunAttempt> out;    ///< the one without an outcome
-    std::optional<Notice> notice;       ///< the message is over, and this is not confirmed yet
+    std::optional<FinalStatus> notice;  ///< the message is over, and this is not confirmed yet
     /// The first attempt that may have run if the process ended now.
     const std::optional<BegunAttempt>& may_have_run() const { return doubt ? doubt : out; }
 };
@@ -108,7 +108,7 @@
     /// The attempt that is out has an outcome.
     void end_attempt(MessageId id, bool never_ran);
     void delivered(MessageId id);
-    void end(MessageId id, Notice notice);
+    void end(MessageId id, FinalStatus notice);
     void confirmed(MessageId id);
 
     /// In the place of what `target` was told before. Of more than kMostWaits the one told first goes.
--- a/src/store/orders_file.cpp
+++ b/src/store/orders_file.cpp
@@ -89,7 +89,7 @@
         return Descriptor(::open(next.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, kOwnerOnly));
     };
     Descriptor file = open();
-    if (file.get() < 0 && out_of_descriptors(errno) && spare_.give_back()) file = open();
+    if (file.get() < 0 && out_of_descriptors(errno) && spare_.release()) file = open();
     std::error_code failed;
     bool kept = file.get() >= 0 && write_all(file.get(), text);
     if (kept) {
@@ -98,7 +98,7 @@
     }
     if (!kept) std::filesystem::remove(next, failed);
     file = Descriptor();
-    spare_.take();
+    spare_.acquire();
     if (kept) read_at_ = stamp();
     return kept;
 }
--- a/src/tier/watch.cpp
+++ b/src/tier/watch.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "base/mix.hpp"
+#include "base/splitmix64.hpp"
 
 namespace lockgw::tier {
 
@@ -246,15 +246,15 @@
 std::uint16_t Watch::told() const {
     std::uint64_t all = 0;
     for (const Member& one : all_)
-        all ^= mixed((std::uint64_t{one.word.who} << 48) ^ (std::uint64_t{one.word.incarnation} << 9) ^
-                     (std::uint64_t{one.word.change} << 1) ^ one.word.left);
+        all ^= splitmix64((std::uint64_t{one.word.who} << 48) ^ (std::uint64_t{one.word.incarnation} << 9) ^
+                          (std::uint64_t{one.word.change} << 1) ^ one.word.left);
     return static_cast<std::uint16_t>(all);
 }
 std::uint16_t Watch::digest() const {
     std::uint64_t all = 0;
     for (const Member& one : all_) {
         const int group = one.state == State::Gone ? 1 : one.state == State::Left ? 2 : 0;
-        all ^= mixed((std::uint64_t{one.word.who} << 2) ^ static_cast<std::uint64_t>(group));
+        all ^= splitmix64((std::uint64_t{one.word.who} << 2) ^ static_cast<std::uint64_t>(group));
     }
     return static_cast<std::uint16_t>(all);
 }
--- a/src/work/crew.cpp
+++ b/src/work/crew.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "base/mix.hpp"
+#include "base/splitmix64.hpp"
 #include "work/bytes.hpp"
 
 namespace lockgw::work {
@@ -51,7 +51,7 @@
       proposer_(settings.own, voters_.size()),
       round_(first_round(settings.process)),
       changed_at_(now),
-      random_(mixed(settings.seed ^ settings.own)) {
+      random_(splitmix64(settings.seed ^ settings.own)) {
     if (stored.empty()) return;
     Reader from(stored);
     const auto version = from.take<std::uint8_t>();
@@ -94,7 +94,7 @@
     return out;
 }
 
-std::uint64_t Crew::random() { return random_ = mixed(random_); }
+std::uint64_t Crew::random() { return random_ = splitmix64(random_); }
 Time Crew::drawn(Time most) {
     return Time(
         static_cast<Time::rep>(random() % static_cast<std::uint64_t>(std::max<Time::rep>(1, most.count()))));
@@ -313,7 +313,7 @@
 }
 
 bool Crew::first_alive(Machine machine, const Sight& sight) const {
-    const auto weight = [machine](Number one) { return mixed(mixed(machine) ^ one); };
+    const auto weight = [machine](Number one) { return splitmix64(splitmix64(machine) ^ one); };
     for (Number one = 0; one < settings_.members; ++one)
         if (one != settings_.own && weight(one) > weight(settings_.own) && !in(sight.gone, one)) return false;
     return true;
@@ -362,7 +362,8 @@
         const bool own = out.steward == settings_.own;
         if (own || !sight.sure || out.phase == Out::Phase::Overdue || out.phase == Out::Phase::Broken)
             continue;
-        const Time apart(static_cast<Time::rep>(mixed(out.fence ^ mixed(settings_.own)) % 2'000'000));
+        const Time apart(
+            static_cast<Time::rep>(splitmix64(out.fence ^ splitmix64(settings_.own)) % 2'000'000));
         if (now - at->second.second > stretched(plan_->each, kPatience) + settings_.margin + apart)
             wish(about(What::Expire, out));
     }
--- a/src/work/ledger.cpp
+++ b/src/work/ledger.cpp
@@ -4,7 +4,7 @@
 #include <map>
 #include <set>
 
-#include "base/mix.hpp"
+#include "base/splitmix64.hpp"
 #include "work/bytes.hpp"
 
 namespace lockgw::work {
@@ -284,7 +284,7 @@
 std::vector<Machine> order_of(const Plan& plan, std::uint64_t digest) {
     std::map<std::uint8_t, std::vector<std::pair<std::uint64_t, Machine>>> zones;
     for (const Place& one : plan.machines)
-        zones[one.zone].emplace_back(mixed(digest ^ mixed(one.machine)), one.machine);
+        zones[one.zone].emplace_back(splitmix64(digest ^ splitmix64(one.machine)), one.machine);
     // each zone's machines spread over the whole: the i-th of n stands at (i + 1/2) / n
     std::vector<std::pair<double, Machine>> all;
     for (auto& [zone, machines] : zones) {
--- a/src/work/plan.cpp
+++ b/src/work/plan.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <set>
 
-#include "base/mix.hpp"
+#include "base/splitmix64.hpp"
 #include "work/bytes.hpp"
 
 namespace lockgw::work {
@@ -14,7 +14,7 @@
 
 std::uint64_t hash_of(std::string_view bytes) {
     std::uint64_t all = 0x9e3779b97f4a7c15 ^ bytes.size();
-    for (const char one : bytes) all = mixed(all ^ static_cast<unsigned char>(one));
+    for (const char one : bytes) all = splitmix64(all ^ static_cast<unsigned char>(one));
     return all;
 }
 
--- a/src/work/register.cpp
+++ b/src/work/register.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "base/mix.hpp"
+#include "base/splitmix64.hpp"
 #include "work/bytes.hpp"
 
 namespace lockgw::work {
@@ -70,8 +70,8 @@
     return voters;
 }
 std::uint32_t electorate_of(std::size_t members, const std::vector<Number>& voters) {
-    std::uint64_t all = mixed(members);
-    for (const Number one : voters) all = mixed(all ^ one);
+    std::uint64_t all = splitmix64(members);
+    for (const Number one : voters) all = splitmix64(all ^ one);
     return static_cast<std::uint32_t>(all);
 }
 
--- a/tests/capture_stories.cmake
+++ b/tests/capture_stories.cmake
@@ -42,17 +42,17 @@
 
 capture_story(silent_partner health.hpp "if (sum > kSilentTimes)" "if (sum > 1e9)")
 capture_story(told_wait logic.cpp "route.wait_until = std::max(route.wait_until, now + event.wait);" "route.wait_until = now;")
-capture_story(cold_return turns.hpp "return endpoint.health == Health::Well || endpoint.cold_tag <= now;" "return true;")
-capture_story(flap health.hpp "endpoint.health = endpoint.failure_seen ? Health::Returning : Health::Well;"
-    "endpoint.health = Health::Well;")
+capture_story(cold_return turns.hpp "return endpoint.health == Health::Healthy || endpoint.recovery_tag <= now;" "return true;")
+capture_story(flap health.hpp "endpoint.health = endpoint.failure_seen ? Health::Recovering : Health::Healthy;"
+    "endpoint.health = Health::Healthy;")
 capture_story(drain_in_a_burst turns.hpp "if (endpoint.condition != Condition::Ready || route_of" "if (route_of")
 capture_story(doubt_after_a_restart logic.cpp "if (event.doubt) {" "if (event.doubt && now < Time(0)) {")
 capture_story(unsafe_without_an_answer messages.hpp "if (kind.effect == Effect::Fragile) return kLongAgo;"
     "if (kind.effect == Effect::Fragile) return kNever;")
-capture_story(limit_learned health.hpp "route.gain = std::max(kLeastGain, before" "route.gain = std::max(1e6, before")
+capture_story(limit_learned health.hpp "route.share_factor = std::max(kLeastGain, before" "route.share_factor = std::max(1e6, before")
 capture_story(one_takes_all_slots tags.hpp "return destination.in_flight == 0 || destination.in_flight + 1 < kCapShare * slots;"
     "return slots > 0 || destination.parked;")
-capture_story(order_of_a_key messages.hpp "if (line.out > 0 || line.turn.front() != id) return kNever;" "")
+capture_story(order_of_a_key messages.hpp "if (line.open_attempts > 0 || line.waiting.front() != id) return kNever;" "")
 capture_story(room_full_of_the_sick state.hpp "if (!ailing(destination)) return Time(0);" "if (now > Time(0)) return Time(0);")
 capture_story(attempts_in_a_long_outage messages.hpp "if (message.attempts * 2 < most ||"
     "if (message.attempts > 0 ||")
--- a/tests/watch_program_test.cpp
+++ b/tests/cluster_membership_program_test.cpp
@@ -1,5 +1,5 @@
-// Forwarders that watch one another, as processes, by the file that deploy/ has for it: who dies, comes back
-// with its folder and without, leaves by order, by SIGTERM.
+// Cluster membership with real processes and the configuration file in deploy/: a forwarder dies, restarts
+// with and without its state folder, and leaves by an operator's order or by SIGTERM.
 #include <gtest/gtest.h>
 
 #include <boost/asio/ip/udp.hpp>
@@ -10,13 +10,14 @@
 namespace lockgw {
 namespace {
 
-class WatchProgramTest : public ::testing::Test {
+class ClusterMembershipProgramTest : public ::testing::Test {
 protected:
     static constexpr std::size_t kMembers = 3;
 
-    WatchProgramTest() {
+    ClusterMembershipProgramTest() {
         boost::asio::io_context io;
-        std::vector<boost::asio::ip::udp::socket> taken;  // given back together: the forwarders bind them
+        std::vector<boost::asio::ip::udp::socket>
+            taken;  // released together, so that the forwarders can bind the ports
         std::vector<std::string> peers;
         for (std::size_t i = 0; i < kMembers; ++i) {
             taken.emplace_back(
@@ -38,69 +39,71 @@
         if (!HasFailure()) return;
         for (const auto& node : nodes) std::cerr << node->log() << '\n';
     }
-    Json ask(std::size_t by, const std::string& verb, const Json& args = Json::object()) {
-        return control::ask(nodes[by]->state() / "control", verb, args);
+    Json ask(std::size_t node, const std::string& verb, const Json& args = Json::object()) {
+        return control::ask(nodes[node]->state() / "control", verb, args);
     }
-    std::string state(std::size_t by, std::size_t who) {
-        return ask(by, "tier").at("members").at(who).at("is").get<std::string>();
+    /// State of `member` as `node` sees it.
+    std::string state(std::size_t node, std::size_t member) {
+        return ask(node, "tier").at("members").at(member).at("is").get<std::string>();
     }
-    std::int64_t incarnation(std::size_t by, std::size_t who) {
-        return ask(by, "tier").at("members").at(who).at("incarnation").get<std::int64_t>();
+    std::int64_t incarnation(std::size_t node, std::size_t member) {
+        return ask(node, "tier").at("members").at(member).at("incarnation").get<std::int64_t>();
     }
-    /// As each of `by` sees it, in the end.
-    void expect(std::vector<std::size_t> by, std::size_t who, const std::string& wanted) {
+    /// Waits until each of `observers` sees `member` in the wanted state.
+    void expect_state(std::vector<std::size_t> observers, std::size_t member, const std::string& wanted) {
         const auto until = Clock::now() + kDeadline;
-        for (const std::size_t one : by) {
-            while (state(one, who) != wanted && Clock::now() < until)
+        for (const std::size_t observer : observers) {
+            while (state(observer, member) != wanted && Clock::now() < until)
                 std::this_thread::sleep_for(std::chrono::milliseconds(20));
-            ASSERT_EQ(state(one, who), wanted) << who << " as " << one << " sees it";
+            ASSERT_EQ(state(observer, member), wanted) << "member " << member << " as seen by " << observer;
         }
     }
-    void all_alive() {
-        for (std::size_t who = 0; who < kMembers; ++who) expect({0, 1, 2}, who, "alive");
+    void expect_all_alive() {
+        for (std::size_t member = 0; member < kMembers; ++member) expect_state({0, 1, 2}, member, "alive");
     }
     std::vector<std::unique_ptr<Node>> nodes;
 };
 
-TEST_F(WatchProgramTest, TellsWhoDiesComesBackAndLeaves) {
+TEST_F(ClusterMembershipProgramTest, DetectsDeathRestartAndDeparture) {
     for (const auto& node : nodes) node->start_ready();
-    all_alive();
+    expect_all_alive();
     const std::int64_t first = incarnation(0, 1);
 
     nodes[1]->kill(), nodes[1]->wait();
-    expect({0, 2}, 1, "gone");
+    expect_state({0, 2}, 1, "gone");
     nodes[1]->start_ready();
-    all_alive();
+    expect_all_alive();
     const std::int64_t second = incarnation(0, 1);
-    EXPECT_GT(second, first) << "it is kept in the folder";
+    EXPECT_GT(second, first) << "the incarnation is kept in the state folder";
 
     nodes[1]->kill(), nodes[1]->wait();
-    expect({0, 2}, 1, "gone");
+    expect_state({0, 2}, 1, "gone");
     std::filesystem::remove_all(nodes[1]->state());
     nodes[1]->start_ready();
-    all_alive();
-    EXPECT_GT(incarnation(0, 1), second) << "though the folder was lost";
+    expect_all_alive();
+    EXPECT_GT(incarnation(0, 1), second) << "although the folder was lost";
 
     ask(2, "order", {{"what", "out-of-service"}});
-    expect({0, 1}, 2, "left");
+    expect_state({0, 1}, 2, "left");
     const auto until = Clock::now() + kDeadline;
     while (ask(0, "tier").at("present") != 2 && Clock::now() < until)
         std::this_thread::sleep_for(std::chrono::milliseconds(20));
     EXPECT_EQ(ask(0, "tier").at("present"), 2);
     ask(2, "order", {{"what", "in-service"}});
-    all_alive();
+    expect_all_alive();
 
     nodes[2]->terminate(), nodes[2]->wait();
-    expect({0, 1}, 2, "left");
-    std::this_thread::sleep_for(std::chrono::seconds(4));  // longer than it takes to be missed
-    expect({0, 1}, 2, "left");
+    expect_state({0, 1}, 2, "left");
+    std::this_thread::sleep_for(std::chrono::seconds(4));  // longer than the failure detector waits
+    expect_state({0, 1}, 2, "left");
     const Json views = ask(0, "tier").at("views");
     EXPECT_EQ(views.at("same"), views.at("of"));
 }
 
-// The name of its control socket is taken by something that is none: it serves all the same, and says so. (A
-// killed process's start failed there, on a system that leaves such names behind.)
-TEST_F(WatchProgramTest, ServesWithoutAControlSocket) {
+// A folder has the path of the control socket: the forwarder must serve without the socket and log that.
+// Guards against a failure seen on a system that keeps socket files of killed processes: the process could
+// not be restarted.
+TEST_F(ClusterMembershipProgramTest, ServesWithoutAControlSocket) {
     std::filesystem::create_directories(nodes[0]->state() / "control" / "in the way");
     nodes[0]->start_ready();
     EXPECT_TRUE(nodes[0]->logs("there is no control socket")) << nodes[0]->log();
--- a/tests/containers_test.cpp
+++ b/tests/containers_test.cpp
@@ -1,4 +1,4 @@
-// The containers beside the module (src/containers), each against a plain account of the same.
+// Property tests of the containers (src/containers): each against a simple reference model.
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 
@@ -6,100 +6,102 @@
 #include <map>
 
 #include "containers/due_queue.hpp"
-#include "containers/lines.hpp"
+#include "containers/grouped_queue.hpp"
 #include "containers/recent_set.hpp"
 
 namespace lockgw {
 namespace {
 
-TEST(RecentSet, IsAPlainMapOfTimes) {
-    constexpr int kSpan = 5;
-    constexpr std::size_t kMost = 4;
+TEST(RecentSet, MatchesAListOfKeysAndTimes) {
+    constexpr int kLifetime = 5;
+    constexpr std::size_t kCapacity = 4;
     EXPECT_TRUE(rc::check("recent set", [](const std::vector<std::pair<std::uint8_t, std::uint8_t>>& script) {
-        RecentSet<int, int> recent(kSpan, kMost);
-        std::vector<std::pair<int, int>> plain;  // when, key: oldest first
+        RecentSet<int, int> recent(kLifetime, kCapacity);
+        std::vector<std::pair<int, int>> model;  // time added and key, oldest first
         int now = 0;
-        for (const auto& [what, step] : script) {
+        for (const auto& [operation, step] : script) {
             now += step % 4;
-            std::erase_if(plain, [&](const auto& one) { return one.first + kSpan <= now; });
-            const int key = what % 8;
+            std::erase_if(model, [&](const auto& entry) { return entry.first + kLifetime <= now; });
+            const int key = operation % 8;
             const auto has = [&](int wanted) {
                 return std::any_of(
-                    plain.begin(), plain.end(), [&](const auto& one) { return one.second == wanted; });
+                    model.begin(), model.end(), [&](const auto& entry) { return entry.second == wanted; });
             };
-            if (what % 3 == 0) {
+            if (operation % 3 == 0) {
                 recent.add(key, now);
-                if (!has(key)) plain.emplace_back(now, key);
-                if (plain.size() > kMost) plain.erase(plain.begin());
+                if (!has(key)) model.emplace_back(now, key);
+                if (model.size() > kCapacity) model.erase(model.begin());
             }
             RC_ASSERT(recent.contains(key, now) == has(key));
-            RC_ASSERT(recent.size() == plain.size());
+            RC_ASSERT(recent.size() == model.size());
         }
     }));
 }
 
-TEST(DueQueue, IsAPlainMapInOrder) {
+TEST(DueQueue, MatchesASortedMap) {
     EXPECT_TRUE(rc::check("due queue", [](const std::vector<std::pair<std::uint8_t, std::uint8_t>>& script) {
         DueQueue<int, int> queue;
-        std::map<int, int> plain;
-        for (const auto& [what, when] : script) {
-            const int key = what % 16;
-            if (what % 5 == 0)
-                queue.erase(key), plain.erase(key);
+        std::map<int, int> model;  // due time by key
+        for (const auto& [operation, when] : script) {
+            const int key = operation % 16;
+            if (operation % 5 == 0)
+                queue.erase(key), model.erase(key);
             else
-                queue.set(key, when), plain[key] = when;
+                queue.set(key, when), model[key] = when;
             std::vector<std::pair<int, int>> sorted;
-            for (const auto& [one, due] : plain) sorted.emplace_back(due, one);
+            for (const auto& [model_key, due] : model) sorted.emplace_back(due, model_key);
             std::sort(sorted.begin(), sorted.end());
-            RC_ASSERT(queue.size() == plain.size());
+            RC_ASSERT(queue.size() == model.size());
             RC_ASSERT(queue.next() == (sorted.empty() ? std::nullopt : std::optional(sorted.front().first)));
             std::vector<int> due;
-            for (const auto& [moment, one] : sorted)
-                if (moment <= 100) due.push_back(one);
+            for (const auto& [due_time, due_key] : sorted)
+                if (due_time <= 100) due.push_back(due_key);
             RC_ASSERT(queue.due(100) == due);
-            if (what % 7 != 0) continue;
+            if (operation % 7 != 0) continue;
             RC_ASSERT(queue.take_due(100) == due);
-            for (const int one : due) plain.erase(one);
+            for (const int due_key : due) model.erase(due_key);
         }
     }));
 }
 
-TEST(Lines, WalkAllInOrderOfArrivalAndSomeWhereTold) {
-    EXPECT_TRUE(rc::check("lines", [](const std::vector<std::uint8_t>& script) {
-        Lines<int, std::uint64_t, int> lines;
-        std::map<std::uint64_t, std::pair<int, int>> plain;  // by arrival: group and birth
+TEST(GroupedQueue, IteratesInOrderOfArrivalAndSamplesEachGroup) {
+    EXPECT_TRUE(rc::check("grouped queue", [](const std::vector<std::uint8_t>& script) {
+        GroupedQueue<int, std::uint64_t, int> queue;
+        std::map<std::uint64_t, std::pair<int, int>> model;  // by arrival: group and creation time
         std::uint64_t arrival = 0;
-        for (const int word : script) {
-            if (word % 3 == 0 && !plain.empty()) {
-                const auto one = std::next(plain.begin(), word % static_cast<int>(plain.size()));
-                lines.take(one->second.first, one->first, one->second.second);
-                plain.erase(one);
+        for (const int operation : script) {
+            if (operation % 3 == 0 && !model.empty()) {
+                const auto entry = std::next(model.begin(), operation % static_cast<int>(model.size()));
+                queue.erase(entry->second.first, entry->first, entry->second.second);
+                model.erase(entry);
                 continue;
             }
-            plain[++arrival] = {word % 4, word};
-            lines.put(word % 4, arrival, word, arrival);
+            model[++arrival] = {operation % 4, operation};
+            queue.insert(operation % 4, arrival, operation, arrival);
         }
-        std::vector<std::uint64_t> walked, told, some;
-        lines.each([&](std::uint64_t item) { return walked.push_back(item), true; });
-        for (const auto& [at, one] : plain) told.push_back(at);
-        RC_ASSERT(walked == told);
-        RC_ASSERT(lines.size() == plain.size());
-        lines.some(
-            2, [](int) { return 128; }, [&](std::uint64_t item) { return some.push_back(item), true; });
-        RC_ASSERT(std::is_sorted(some.begin(), some.end()));
+        std::vector<std::uint64_t> visited, expected, sample;
+        queue.for_each([&](std::uint64_t item) { return visited.push_back(item), true; });
+        for (const auto& [arrived, entry] : model) expected.push_back(arrived);
+        RC_ASSERT(visited == expected);
+        RC_ASSERT(queue.size() == model.size());
+        queue.for_each_sampled(
+            2, [](int) { return 128; }, [&](std::uint64_t item) { return sample.push_back(item), true; });
+        RC_ASSERT(std::is_sorted(sample.begin(), sample.end()));
         for (int group = 0; group < 4; ++group) {
-            std::vector<std::uint64_t> own;
-            std::vector<std::pair<int, std::uint64_t>> born;
-            for (const auto& [at, one] : plain)
-                if (one.first == group) own.push_back(at), born.emplace_back(one.second, at);
-            std::sort(born.begin(), born.end());
-            const auto around = std::lower_bound(born.begin(), born.end(), std::pair(128, std::uint64_t{0}));
-            const auto chosen = [&](std::uint64_t at) {
-                return std::find(some.begin(), some.end(), at) != some.end();
+            std::vector<std::uint64_t> in_group;
+            std::vector<std::pair<int, std::uint64_t>> by_creation;
+            for (const auto& [arrived, entry] : model)
+                if (entry.first == group)
+                    in_group.push_back(arrived), by_creation.emplace_back(entry.second, arrived);
+            std::sort(by_creation.begin(), by_creation.end());
+            const auto around =
+                std::lower_bound(by_creation.begin(), by_creation.end(), std::pair(128, std::uint64_t{0}));
+            const auto sampled = [&](std::uint64_t item) {
+                return std::find(sample.begin(), sample.end(), item) != sample.end();
             };
-            for (std::size_t i = 0; i < 2 && i < own.size(); ++i) RC_ASSERT(chosen(own[i]));
-            if (around != born.end()) RC_ASSERT(chosen(around->second));
-            if (around != born.begin()) RC_ASSERT(chosen(std::prev(around)->second));
+            for (std::size_t i = 0; i < 2 && i < in_group.size(); ++i) RC_ASSERT(sampled(in_group[i]));
+            if (around != by_creation.end()) RC_ASSERT(sampled(around->second));
+            if (around != by_creation.begin()) RC_ASSERT(sampled(std::prev(around)->second));
         }
     }));
 }
--- a/tests/journal_test.cpp
+++ b/tests/journal_test.cpp
@@ -70,7 +70,7 @@
         EXPECT_EQ(untried.deadline, kNow + milliseconds(8000));
         EXPECT_FALSE(journal.find(1)->may_have_run());
         ASSERT_TRUE(journal.find(4)->notice);
-        EXPECT_EQ(journal.find(4)->notice->wait, milliseconds(500));
+        EXPECT_EQ(journal.find(4)->notice->retry_after, milliseconds(500));
     }
     Journal journal(folder.path(), kRoom);
     journal.confirmed(4);
@@ -283,7 +283,7 @@
     ASSERT_NE(back.find(4), nullptr);
     EXPECT_FALSE(back.find(1)->may_have_run());
     ASSERT_TRUE(back.find(2)->notice);
-    EXPECT_EQ(back.find(2)->notice->wait, milliseconds(70));
+    EXPECT_EQ(back.find(2)->notice->retry_after, milliseconds(70));
 }
 
 // A compaction in the middle of a turn holds what the turn has recorded so far.
--- a/tests/recovery_test.cpp
+++ b/tests/recovery_test.cpp
@@ -15,7 +15,7 @@
 using namespace std::chrono_literals;
 
 const Moment kThen{1000s, 1'700'000'000s, 42};
-Moment later(Time by) { return {kThen.steady + by, kThen.wall + by, kThen.boot}; }
+Moment later(Time by) { return {kThen.steady + by, kThen.wall + by, kThen.boot_id}; }
 
 Snapshot sample() {
     Snapshot all;
@@ -79,12 +79,12 @@
 TEST(Until, GoesByTheSteadyClockWhileTheMachineRuns) {
     Moment now = later(5s);
     now.wall -= 1h;
-    EXPECT_EQ(until(later(20s), now), Time(15s));
-    EXPECT_EQ(until(later(2s), now), Time(-3s)) << "it is past";
+    EXPECT_EQ(time_until(later(20s), now), Time(15s));
+    EXPECT_EQ(time_until(later(2s), now), Time(-3s)) << "it is past";
 }
 TEST(Until, GoesByTheWallClockAfterTheMachineWasStartedAnew) {
-    EXPECT_EQ(until(kThen, {3s, kThen.wall - 7s, 43}), Time(7s));
-    EXPECT_EQ(until({9s, kThen.wall, 0}, {60s, kThen.wall - 7s, 0}), Time(7s));
+    EXPECT_EQ(time_until(kThen, {3s, kThen.wall - 7s, 43}), Time(7s));
+    EXPECT_EQ(time_until({9s, kThen.wall, 0}, {60s, kThen.wall - 7s, 0}), Time(7s));
 }
 
 // ---- ages ----
@@ -179,9 +179,9 @@
         after.observe(listed({11, 12}), then);
         after.observe(event_of(facts, {{"a", 11}, {"b", 12}}, then), then);
         auto& state = after.state();
-        EXPECT_NE(state.endpoints_.at(11).health, policy::Health::Well);
-        EXPECT_EQ(state.endpoints_.at(12).health, policy::Health::Well);
-        EXPECT_DOUBLE_EQ(state.route_of(state.endpoints_.at(12)).heard, 50);
+        EXPECT_NE(state.endpoints_.at(11).health, policy::Health::Healthy);
+        EXPECT_EQ(state.endpoints_.at(12).health, policy::Health::Healthy);
+        EXPECT_DOUBLE_EQ(state.route_of(state.endpoints_.at(12)).reported_limit, 50);
         EXPECT_EQ(after.wait_until(12), policy::kLongAgo) << "no snapshot sets a wait";
         EXPECT_GT(state.destinations_.at(7).usual, 0);
     }
@@ -192,7 +192,7 @@
     Snapshot facts = sample();
     facts.targets[0].destination = 8;
     after.observe(event_of(facts, {{"t-1", 11}}, 100s), 100s);
-    EXPECT_EQ(after.state().endpoints_.at(11).health, policy::Health::Well);
+    EXPECT_EQ(after.state().endpoints_.at(11).health, policy::Health::Healthy);
 }
 TEST(Learning, WhatIsKnownByNowStays) {
     Sender after(settings(false), 4);
--- a/tests/reference/logic_before.cpp
+++ b/tests/reference/logic_before.cpp
@@ -12,7 +12,7 @@
 #include <stdexcept>
 #include <utility>
 
-#include "base/mix.hpp"
+#include "base/splitmix64.hpp"
 #include "cometspoke/sender.hpp"
 
 namespace cometspoke {
@@ -520,7 +520,7 @@
             Endpoint& endpoint = endpoints_.at(id);
             if (limited && route_of(endpoint).limit_tag > now) continue;
             if (!open(id, now) || !may_go(message, id)) continue;
-            const std::pair cost(cost_of(endpoint, now), lockgw::mixed(own_ ^ lockgw::mixed(id)));
+            const std::pair cost(cost_of(endpoint, now), lockgw::splitmix64(own_ ^ lockgw::splitmix64(id)));
             if (!best || cost < least) best = id, least = cost;
         }
         return best;
--- a/tests/return_test.cpp
+++ b/tests/restart_recovery_test.cpp
@@ -1,5 +1,6 @@
-// The program killed and back: what it may not forget, what it must not believe, and at which pace it goes
-// on. Counted from outside, by the stand-ins.
+// Recovery of the program after it was killed: which state it must keep, which stored facts it must not use,
+// and the pace at which it delivers its backlog. Checked from outside, by the calls that the test targets
+// see.
 #include <gtest/gtest.h>
 
 #include <boost/asio/ip/udp.hpp>
@@ -17,9 +18,9 @@
 using rig::CallScript;
 namespace fs = std::filesystem;
 
-class ReturnTest : public MembershipTest {
+class RestartRecoveryTest : public MembershipTest {
 protected:
-    explicit ReturnTest(std::size_t count = 3) : MembershipTest(count) {
+    explicit RestartRecoveryTest(std::size_t count = 3) : MembershipTest(count) {
         std::ofstream(node.folder() / "operator.toml") << "[log]\nlevel = \"info\"\n";
         node.set_environment("LOCKGW_CONFIG", (node.folder() / "operator.toml").string());
     }
@@ -30,67 +31,69 @@
             "Retry-After: " + std::to_string(std::chrono::duration<double>(wait).count()) + "\r\n";
         return script;
     }
-    Json told() { return control::ask(node.state() / "control", "return"); }
+    Json recovery_status() { return control::ask(node.state() / "control", "return"); }
     void kill() { node.kill(), node.wait(); }
     void restart() { kill(), node.start_ready(); }
     std::string bytes(const fs::path& path) {
         std::ifstream stream(path, std::ios::binary);
         return {std::istreambuf_iterator<char>(stream), {}};
     }
-    /// Written since, so that what was learned before stands in it.
-    bool snapshot_after(const std::function<bool(const recovery::Snapshot&)>& holds) {
+    /// Waits for a snapshot that fulfils the condition.
+    bool wait_for_snapshot(const std::function<bool(const recovery::Snapshot&)>& holds) {
         return waits_for([&] {
             const auto read = recovery::snapshot_of(bytes(node.state() / "learned"));
             return read.snapshot && holds(*read.snapshot);
         });
     }
-    /// Calls that came while a wait ran which an earlier call was told; two that were out together know of
-    /// none.
-    std::size_t broken(std::chrono::milliseconds wait) const {
-        std::size_t all = 0;
+    /// Counts the calls that came before the Retry-After of an earlier call had passed. Calls that overlap
+    /// the earlier one do not count, because they could not know of it.
+    std::size_t early_calls(std::chrono::milliseconds wait) const {
+        std::size_t count = 0;
         const auto calls = targets.calls();
         for (std::size_t i = 0; i < calls.size(); ++i)
             for (std::size_t j = 0; j < i; ++j) {
                 const auto after = calls[i].first_byte - calls[j].first_byte;
-                if (calls[i].target != calls[j].target || after <= kRead || after >= wait - 2ms) continue;
-                ++all;
+                if (calls[i].target != calls[j].target || after <= kReadTime || after >= wait - 2ms) continue;
+                ++count;
                 break;
             }
-        return all;
+        return count;
     }
-    static constexpr auto kRead = 40ms;  // an answer has been read by then
+    static constexpr auto kReadTime = 40ms;  // an answer is read within this time
 };
 
-// A target refuses and names a wait; the process is killed at some instant after the answer has come, and is
-// back long before the wait is over. RETURN_KILLS in the environment asks for more rounds.
-TEST_F(ReturnTest, AToldWaitHoldsOverKillsAtRandomInstants) {
-    const char* asked = std::getenv("RETURN_KILLS");
-    const int rounds = asked ? std::atoi(asked) : 12;
+// A target refuses with a Retry-After. The process is killed at a random time after the answer and restarted
+// before the wait has passed; it must not call the target earlier. RETURN_KILLS in the environment sets the
+// number of rounds.
+TEST_F(RestartRecoveryTest, RetryAfterIsKeptAcrossKillsAtRandomTimes) {
+    const char* requested = std::getenv("RETURN_KILLS");
+    const int rounds = requested ? std::atoi(requested) : 12;
     const unsigned seed = std::random_device{}();
     std::mt19937 random(seed);
     constexpr auto kWait = 700ms;
     targets.usual(0, refusal(kWait));
     start_with({member("s-0", 0)});
-    std::size_t held = 0;
+    std::size_t applied_waits = 0;
     for (int round = 0; round < rounds; ++round) {
         const std::size_t before = targets.calls().size();
         Client client = node.client();
         ASSERT_EQ(enqueue(client, fresh_id(), "safe", 7, 4'000), "+OK");
         ASSERT_TRUE(targets.wait_calls(before + 1, kDeadline)) << node.log();
-        std::this_thread::sleep_for(kRead + std::chrono::milliseconds(random() % 400));
+        std::this_thread::sleep_for(kReadTime + std::chrono::milliseconds(random() % 400));
         restart();
-        waits_for([&] { return told().at("believed").at("waits") > 0; }, 100ms);  // with the list
-        held += told().at("believed").at("waits").get<std::size_t>();
+        waits_for([&] { return recovery_status().at("believed").at("waits") > 0; },
+            100ms);  // applied with the target list
+        applied_waits += recovery_status().at("believed").at("waits").get<std::size_t>();
     }
-    EXPECT_EQ(broken(kWait), 0u) << "seed " << seed << '\n' << node.log();
-    EXPECT_GT(held, 0u) << "no round had a wait that ran on: seed " << seed;
-    std::cout << "rounds " << rounds << ", calls " << targets.calls().size() << ", waits held " << held
-              << ", seed " << seed << '\n';
+    EXPECT_EQ(early_calls(kWait), 0u) << "seed " << seed << '\n' << node.log();
+    EXPECT_GT(applied_waits, 0u) << "no wait outlasted a restart in any round: seed " << seed;
+    std::cout << "rounds " << rounds << ", calls " << targets.calls().size() << ", waits applied "
+              << applied_waits << ", seed " << seed << '\n';
 }
 
-// Killed with thirty messages owed; the target is well again. They come by and by, the first few of them
-// first.
-TEST_F(ReturnTest, WhatIsOwedIsTakenUpByAndBy) {
+// The process is killed with a backlog of 30 messages, and the target is healthy again. The backlog must be
+// released gradually, a few messages at first.
+TEST_F(RestartRecoveryTest, BacklogIsReleasedGradually) {
     node.config()["settings"]["n_instances"] = 2;
     CallScript hang;
     hang.kind = CallScript::Kind::Hang, hang.takes_effect = false;
@@ -105,16 +108,18 @@
     targets.usual(0, slow);
     node.start_ready();
     ASSERT_TRUE(targets.wait_calls(before + 1, kDeadline)) << node.log();
-    std::this_thread::sleep_for(60ms);  // none is answered yet
-    EXPECT_LE(targets.calls().size(), before + 2) << "half of the slots and more would go at once";
+    std::this_thread::sleep_for(60ms);  // no call is answered yet
+    EXPECT_LE(targets.calls().size(), before + 2)
+        << "without pacing half of the slots or more would be used at once";
     ASSERT_TRUE(waits_for([&] { return targets.effects_by_id().size() == 30; }))
-        << node.log() << told().dump(1);
-    EXPECT_TRUE(waits_for([&] { return told().at("phase") == "full"; })) << told().dump(1);
-    EXPECT_EQ(told().at("owed").at("all"), 30);
-    EXPECT_FALSE(told().at("full_after_ms").is_null());
+        << node.log() << recovery_status().dump(1);
+    EXPECT_TRUE(waits_for([&] { return recovery_status().at("phase") == "full"; }))
+        << recovery_status().dump(1);
+    EXPECT_EQ(recovery_status().at("owed").at("all"), 30);
+    EXPECT_FALSE(recovery_status().at("full_after_ms").is_null());
 }
-// A message that comes while the backlog is taken up is not queued behind it.
-TEST_F(ReturnTest, ClientsAreServedWhileTheBacklogWaits) {
+// A message that arrives while the backlog is being released must not be queued behind it.
+TEST_F(RestartRecoveryTest, NewMessagesDoNotWaitForTheBacklog) {
     CallScript hang;
     hang.kind = CallScript::Kind::Hang, hang.takes_effect = false;
     targets.usual(0, hang);
@@ -130,68 +135,70 @@
     const std::size_t before = targets.calls().size();
     node.start_ready();
     Client client = node.client();
-    const std::string fresh = fresh_id();
-    ASSERT_EQ(enqueue(client, fresh, "safe", 7, 60'000), "+OK");
-    ASSERT_TRUE(waits_for([&] { return targets.effects_by_id().contains(fresh); })) << node.log();
-    EXPECT_LE(targets.calls().size(), before + 12) << "it went after most of the backlog";
+    const std::string new_message = fresh_id();
+    ASSERT_EQ(enqueue(client, new_message, "safe", 7, 60'000), "+OK");
+    ASSERT_TRUE(waits_for([&] { return targets.effects_by_id().contains(new_message); })) << node.log();
+    EXPECT_LE(targets.calls().size(), before + 12) << "the new message was sent after most of the backlog";
 }
 
-// An outage that was known is known still: the target is tried by its budget, not by each message.
-TEST_F(ReturnTest, AKnownOutageIsBelieved) {
-    CallScript bad;
-    bad.status = 500, bad.takes_effect = false;
-    targets.usual(0, bad);
+// A known outage must still be known after a restart: the target is then tried within its budget only, not by
+// every message.
+TEST_F(RestartRecoveryTest, KnownOutageIsRestoredFromTheSnapshot) {
+    CallScript failure;
+    failure.status = 500, failure.takes_effect = false;
+    targets.usual(0, failure);
     start_with({member("s-0", 0), member("s-1", 1)});
     Client client = node.client();
     for (int i = 0; i < 12; ++i) ASSERT_EQ(enqueue(client, fresh_id()), "+OK");
     ASSERT_TRUE(waits_for([&] { return targets.effects_by_id().size() == 12; })) << node.log();
-    ASSERT_TRUE(snapshot_after([](const auto& one) {
-        return std::any_of(
-            one.targets.begin(), one.targets.end(), [](const auto& t) { return t.outage.has_value(); });
+    ASSERT_TRUE(wait_for_snapshot([](const auto& snapshot) {
+        return std::any_of(snapshot.targets.begin(), snapshot.targets.end(),
+            [](const auto& target) { return target.outage.has_value(); });
     })) << node.log();
     restart();
-    EXPECT_GE(told().at("believed").at("learned"), 1) << told().dump(1);
-    const auto to_bad = [&] {
+    EXPECT_GE(recovery_status().at("believed").at("learned"), 1) << recovery_status().dump(1);
+    const auto calls_to_failing_target = [&] {
         const auto calls = targets.calls();
         return std::count_if(calls.begin(), calls.end(), [](const auto& call) { return call.target == 0; });
     };
-    const auto before = to_bad();
-    Client fresh = node.client();
-    for (int i = 0; i < 20; ++i) ASSERT_EQ(enqueue(fresh, fresh_id()), "+OK");
+    const auto before = calls_to_failing_target();
+    Client new_client = node.client();
+    for (int i = 0; i < 20; ++i) ASSERT_EQ(enqueue(new_client, fresh_id()), "+OK");
     ASSERT_TRUE(waits_for([&] { return targets.effects_by_id().size() == 32; })) << node.log();
-    EXPECT_LE(to_bad() - before, 2) << node.log();
+    EXPECT_LE(calls_to_failing_target() - before, 2) << node.log();
 }
 
-// ---- what is lost, torn or another's ----
+// ---- lost, damaged or foreign files ----
 
-TEST_F(ReturnTest, ALostJournalIsTold) {
+TEST_F(RestartRecoveryTest, LostJournalIsReported) {
     CallScript hang;
     hang.kind = CallScript::Kind::Hang;
     targets.usual(0, hang);
     start_with({member("s-0", 0)});
     Client client = node.client();
     for (int i = 0; i < 5; ++i) ASSERT_EQ(enqueue(client, fresh_id()), "+OK");
-    ASSERT_TRUE(snapshot_after([](const auto& one) { return one.held == 5; }));
+    ASSERT_TRUE(wait_for_snapshot([](const auto& snapshot) { return snapshot.held == 5; }));
     kill();
     fs::remove(node.state() / "journal");
     node.start_ready();
-    EXPECT_TRUE(told().at("lost").at("journal").get<bool>());
+    EXPECT_TRUE(recovery_status().at("lost").at("journal").get<bool>());
     EXPECT_TRUE(node.logs("a part of the folder is lost")) << node.log();
 }
-TEST_F(ReturnTest, ATornOrStrangeSnapshotIsNotRead) {
+TEST_F(RestartRecoveryTest, DamagedOrForeignSnapshotIsNotRead) {
     start_with({member("s-0", 0)});
     Client client = node.client();
     ASSERT_EQ(enqueue(client, fresh_id()), "+OK");
-    ASSERT_TRUE(snapshot_after([](const auto&) { return true; }));
+    ASSERT_TRUE(wait_for_snapshot([](const auto&) { return true; }));
     kill();
     const std::string whole = bytes(node.state() / "learned");
-    std::string newer = whole, text = "nothing of the kind";
-    newer[4] = 9;
+    std::string newer_version = whole, text = "nothing of the kind";
+    newer_version[4] = 9;
     int served = 1;
-    for (const std::string& spoilt : {whole.substr(0, whole.size() / 2), newer, text, std::string()}) {
-        std::ofstream(node.state() / "learned", std::ios::binary | std::ios::trunc) << spoilt;
+    for (const std::string& invalid :
+        {whole.substr(0, whole.size() / 2), newer_version, text, std::string()}) {
+        std::ofstream(node.state() / "learned", std::ios::binary | std::ios::trunc) << invalid;
         node.start_ready();
-        EXPECT_EQ(told().at("believed").at("facts"), 0);
+        EXPECT_EQ(recovery_status().at("believed").at("facts"), 0);
         Client again = node.client();
         ASSERT_EQ(enqueue(again, fresh_id()), "+OK");
         ++served;
@@ -201,18 +208,20 @@
     }
     node.start_ready();
 }
-// Its file cannot be written: nothing else suffers, and it says so once.
-TEST_F(ReturnTest, AFullDiskTakesNoSnapshotAndNothingElseSuffers) {
+// The snapshot file cannot be written: messages are delivered all the same, and the failure is counted.
+TEST_F(RestartRecoveryTest, DeliversMessagesWhenTheSnapshotCannotBeWritten) {
     fs::create_directories(node.state() / "learned.new" / "in the way");
     start_with({member("s-0", 0)});
     Client client = node.client();
     ASSERT_EQ(enqueue(client, fresh_id()), "+OK");
-    ASSERT_TRUE(waits_for([&] { return told().at("snapshots").at("failed") > 0; })) << told().dump(1);
+    ASSERT_TRUE(waits_for([&] { return recovery_status().at("snapshots").at("failed") > 0; }))
+        << recovery_status().dump(1);
     ASSERT_EQ(enqueue(client, fresh_id()), "+OK");
     EXPECT_TRUE(waits_for([&] { return targets.effects_by_id().size() == 2; })) << node.log();
 }
-// Off by the operator's file: nothing is written, and what is owed goes at once, as before.
-TEST_F(ReturnTest, OffMeansAsBefore) {
+// With snapshots and pacing disabled in the operator's file nothing is written, and the whole backlog is sent
+// at once.
+TEST_F(RestartRecoveryTest, DisabledWritesNoSnapshotAndDoesNotPace) {
     std::ofstream(node.folder() / "operator.toml") << "[return]\nsnapshots = false\npace = false\n";
     CallScript hang;
     hang.kind = CallScript::Kind::Hang, hang.takes_effect = false;
@@ -226,19 +235,20 @@
     node.start_ready();
     ASSERT_TRUE(targets.wait_calls(before + 6, kDeadline));
     EXPECT_FALSE(fs::exists(node.state() / "learned"));
-    EXPECT_EQ(told().at("owed").at("all"), 0);
+    EXPECT_EQ(recovery_status().at("owed").at("all"), 0);
 }
 
-// ---- peers: three that watch one another ----
+// ---- a cluster of three forwarders ----
 
-class ReturnOfOneTest : public MembershipTest {
+class ClusterRestartTest : public MembershipTest {
 protected:
     static constexpr std::size_t kMembers = 3;
-    ReturnOfOneTest() {
+    ClusterRestartTest() {
         std::vector<std::string> peers;
         {
             boost::asio::io_context io;
-            std::vector<boost::asio::ip::udp::socket> taken;  // given back together: the forwarders bind them
+            std::vector<boost::asio::ip::udp::socket>
+                taken;  // released together, so that the forwarders can bind the ports
             for (std::size_t i = 0; i < kMembers; ++i) {
                 taken.emplace_back(
                     io, boost::asio::ip::udp::endpoint(boost::asio::ip::address_v4::loopback(), 0));
@@ -251,47 +261,48 @@
             config["settings"]["n_instances"] = kMembers, config["settings"]["me"] = i;
             config["settings"]["limits"]["peers"] = true;
             config["peer_listen"] = peers[i], config["peers"] = peers;
-            const auto taken_already = [this] {
-                for (const auto& other : nodes)
-                    if (other != nodes.back() && other->address() == nodes.back()->address()) return true;
+            const auto address_in_use = [this] {
+                for (const auto& earlier : nodes)
+                    if (earlier != nodes.back() && earlier->address() == nodes.back()->address()) return true;
                 return nodes.back()->address() == node.address();
             };
             nodes.push_back(std::make_unique<Node>(config));
-            while (taken_already()) nodes.back() = std::make_unique<Node>(config);
+            while (address_in_use()) nodes.back() = std::make_unique<Node>(config);
             nodes.back()->set_environment("LOCKGW_CONFIG", TIER_FILE);
         }
-        for (const auto& one : nodes) one->start_ready();
+        for (const auto& member : nodes) member->start_ready();
     }
-    Json ask(std::size_t who, const std::string& verb, const Json& args = Json::object()) {
-        return control::ask(nodes[who]->state() / "control", verb, args);
+    Json ask(std::size_t index, const std::string& verb, const Json& args = Json::object()) {
+        return control::ask(nodes[index]->state() / "control", verb, args);
     }
     void wait_all_alive() {
         ASSERT_TRUE(waits_for([&] {
             for (std::size_t i = 0; i < kMembers; ++i) {
-                const Json told = ask(i, "tier");
-                for (const Json& row : told.at("members"))
+                const Json status = ask(i, "tier");
+                for (const Json& row : status.at("members"))
                     if (row.at("is") != "alive") return false;
             }
             return true;
         }));
     }
-    void let_them_grow_old() { std::this_thread::sleep_for(5200ms); }
+    /// Waits until the processes no longer count as young (5 s): answers of young peers are not relied on.
+    void wait_until_not_young() { std::this_thread::sleep_for(5200ms); }
     std::vector<std::unique_ptr<Node>> nodes;
 };
 
-// An operator has taken a target out at each of them. One loses its folder, and with it the order: its peers
-// know.
-TEST_F(ReturnOfOneTest, OrdersThatWereLostAreAskedForBeforeTheFirstSend) {
+// An operator has taken a target offline at each forwarder. One of them loses its folder and with it the
+// order: it must learn the order from its peers before it sends anything.
+TEST_F(ClusterRestartTest, LostOrdersAreFetchedFromPeersBeforeTheFirstCall) {
     wait_all_alive();
     for (std::size_t i = 0; i < kMembers; ++i)
         ASSERT_TRUE(waits_for([&] {
             try {
                 return ask(i, "order", {{"what", "offline"}, {"target", "s-0"}}).contains("done");
             } catch (const control::Refused&) {
-                return false;  // it is not listed there yet
+                return false;  // the target is not listed there yet
             }
         }));
-    let_them_grow_old();
+    wait_until_not_young();
     nodes[2]->kill(), nodes[2]->wait();
     fs::remove_all(nodes[2]->state());
     const std::size_t before = targets.calls().size();
@@ -303,25 +314,25 @@
     EXPECT_EQ(ask(2, "status").at("out_by_hand"), Json::array({"s-0"}));
     EXPECT_EQ(ask(2, "return").at("peers").at("out_by_hand"), 1);
 }
-// A copy of the folder is put back in which a keyed message has not been sent yet. It was, since, and took
-// effect: the peers heard of the process after the copy was made, so the message may have run, and its window
-// is over.
-TEST_F(ReturnOfOneTest, AnOldCopyDoesNotSendAKeyedMessageAgain) {
+// A copy of the folder is restored in which a keyed message has not been sent yet, although it was sent and
+// took effect after the copy was made. The peers heard of the process after that time, so the message may
+// have run; its deduplication window is over, and it must not be sent again.
+TEST_F(ClusterRestartTest, RestoredOldFolderDoesNotResendAKeyedMessage) {
     wait_all_alive();
-    CallScript refused;  // it surely has not run there
+    CallScript refused;  // a refused call has certainly not run
     refused.status = 429, refused.takes_effect = false, refused.headers = "Retry-After: 0.2\r\n";
     targets.usual(0, refused), targets.usual(1, refused);
     Client client = nodes[2]->client();
     const std::string id = fresh_id();
     ASSERT_EQ(enqueue(client, id, "keyed", 7, 60'000), "+OK");
     ASSERT_TRUE(waits_for([&] { return fs::exists(nodes[2]->state() / "learned"); }));
-    std::this_thread::sleep_for(400ms);  // a snapshot that is as old as the copy
+    std::this_thread::sleep_for(400ms);  // so that a snapshot as old as the copy exists
     const fs::path copy = nodes[2]->folder() / "copy";
     rig::copy_files(nodes[2]->state(), copy);
     targets.usual(0, {}), targets.usual(1, {});
     ASSERT_TRUE(waits_for([&] { return targets.effects_by_id().contains(id); })) << nodes[2]->log();
     std::this_thread::sleep_for(
-        16s);  // the copy lacks more than kLacking, and its mark may be 5 s old itself
+        16s);  // the copy must be older than kLacking, and its snapshot may be 5 s old when it is made
     nodes[2]->kill(), nodes[2]->wait();
     fs::remove_all(nodes[2]->state());
     fs::rename(copy, nodes[2]->state());
--- a/tests/watch_test.cpp
+++ b/tests/watch_test.cpp
@@ -108,8 +108,8 @@
     }
 }
 // A peer's address is another member's by now: notes say who sends them, and one that says it is somebody
-// else than its address tells is not taken for either (core/tier reads it so; here: the word of the name
-// holds).
+// else than its address tells is not taken for either (core/cluster_membership reads it so; here: the word of
+// the name holds).
 TEST(Watch, AnAddressThatChangesHandsChangesNobodysWord) {
     Tier tier(6);
     tier.rounds(15);
--- a/tests/window_test.cpp
+++ b/tests/window_test.cpp
@@ -101,7 +101,7 @@
 // A machine that was started anew, and whose clock was set back: no clock tells how long ago the call was.
 TEST_F(ClockSetOverARestart, NothingIsRepeatedWhereNoClockCanTell) {
     Moment other_boot = apart(-1ms, 1h);
-    ++other_boot.boot;
+    ++other_boot.boot_id;
     leave(1, "keyed", apart(60s, 60s), other_boot);
     start_with({member("s-0", 0)});
     ASSERT_TRUE(waits_for([&] { return !directory.notices().empty(); })) << node.log();
