--- a/tests/capture_stories.cmake
+++ b/tests/capture_stories.cmake
@@ -49,7 +49,7 @@
 capture_story(doubt_after_a_restart logic.cpp "if (event.doubt) {" "if (event.doubt && now < Time(0)) {")
 capture_story(unsafe_without_an_answer messages.hpp "if (kind.effect == Effect::Fragile) return kLongAgo;"
     "if (kind.effect == Effect::Fragile) return kNever;")
-capture_story(limit_learned health.hpp "route.share_factor = std::max(kLeastGain, before" "route.share_factor = std::max(1e6, before")
+capture_story(limit_learned health.hpp "std::max(kLeastGain, before" "std::max(1e6, before")
 capture_story(one_takes_all_slots tags.hpp "return destination.in_flight == 0 || destination.in_flight + 1 < kCapShare * slots;"
     "return slots > 0 || destination.parked;")
 capture_story(order_of_a_key messages.hpp "if (line.open_attempts > 0 || line.waiting.front() != id) return kNever;" "")
