--- a/tests/recovery_test.cpp
+++ b/tests/recovery_test.cpp
@@ -183,7 +183,7 @@
         EXPECT_EQ(state.endpoints_.at(12).health, policy::Health::Healthy);
         EXPECT_DOUBLE_EQ(state.route_of(state.endpoints_.at(12)).reported_limit, 50);
         EXPECT_EQ(after.wait_until(12), policy::kLongAgo) << "no snapshot sets a wait";
-        EXPECT_GT(state.destinations_.at(7).usual, 0);
+        EXPECT_GT(state.destinations_.at(7).typical_latency_s, 0);
     }
 }
 TEST(Learning, AnAddressThatIsAnotherDestinationsIsNotMeant) {
@@ -197,9 +197,9 @@
 TEST(Learning, WhatIsKnownByNowStays) {
     Sender after(settings(false), 4);
     after.observe(listed({11, 12}), 100s);
-    after.state().destinations_.at(7).shared.heard = 5;
+    after.state().destinations_.at(7).shared_route.reported_limit = 5;
     after.observe(event_of(sample(), {{"t-1", 11}, {"t-2", 12}}, 100s), 100s);
-    EXPECT_DOUBLE_EQ(after.state().destinations_.at(7).shared.heard, 5);
+    EXPECT_DOUBLE_EQ(after.state().destinations_.at(7).shared_route.reported_limit, 5);
 }
 
 // ---- peers ----
