--- a/src/base/checked_settings.cpp
+++ b/src/base/checked_settings.cpp
@@ -7,8 +7,8 @@
 namespace cometspoke {
 namespace {
 
-void require(bool good, const char* name) {
-    if (!good) throw std::invalid_argument(std::string("cometspoke settings: ") + name);
+void require(bool valid, const char* name) {
+    if (!valid) throw std::invalid_argument(std::string("cometspoke settings: ") + name);
 }
 
 }  // namespace
