--- a/src/core/forwarder.cpp
+++ b/src/core/forwarder.cpp
@@ -7,10 +7,10 @@
 #include <utility>
 
 #include "base/condition.hpp"
-#include "core/clocks.hpp"
+#include "core/admission_limits.hpp"
 #include "core/descriptor_budget.hpp"
-#include "core/door_limits.hpp"
-#include "core/standing.hpp"
+#include "core/descriptors.hpp"
+#include "core/subset_parameters.hpp"
 #include "logging/log.hpp"
 
 namespace lockgw {
@@ -59,13 +59,13 @@
       tenant_numbers_(config_.names.tenants),
       previous_process_(read_hand_over_state(config_)),
       journal_(config_.state,
-          config_.disk_bytes - orders_room(config_.disk_bytes) - snapshot_room(config_.disk_bytes),
+          config_.disk_bytes - orders_room(config_.disk_bytes) - snapshot_budget(config_.disk_bytes),
           config_.settings.most_held),
       orders_(config_.state, orders_room(config_.disk_bytes)),
       sender_(config_.settings, config_.seed),
       captures_(io, config_, sender_, directory_),
       routes_(std::move(routes)),
-      planner_(standing_of(config_), config_.spread),
+      planner_(subset_parameters(config_), config_.spread),
       delivery_(protocols.delivery(
           io, config_, max_target_connections(config_),
           [this](const Call& call, const Tcp::endpoint& address) { return may_send(call, address); },
@@ -82,7 +82,7 @@
               stop_if_done();
           }),
       cluster_(
-          io, config_, [this](const TierWatch::Standing& view) { apply_cluster_view(view); },
+          io, config_, [this](const ClusterMembership::Position& view) { apply_cluster_view(view); },
           [this](const PeerNote& note) { observe(note); }),
       recovery_(
           io, {config_, sender_, journal_, directory_, cluster_},
@@ -106,7 +106,7 @@
     cluster_.start();
     start_recovery(handed_over);
     maintenance_.start();
-    out_for_maintenance_ = maintenance_.away();
+    out_for_maintenance_ = maintenance_.out_of_service();
     recover_messages(handed_over);
     discovery_.start();
     if (!orders_.now().in_service() || out_for_maintenance_) update_in_service();
@@ -152,7 +152,7 @@
         entry.known_as = subsetting::gossip_id(target.id);
         entry.condition = target.condition;
         if (entry.condition == Condition::Ready &&
-            (orders_.now().out(target.id) || maintenance_.out(target.id)))
+            (orders_.now().out(target.id) || maintenance_.is_target_out(target.id)))
             entry.condition = Condition::Draining;  // taken out by an operator or for maintenance
         if (entry.condition == Condition::Ready) {
             delivery_->set_address(*endpoint, target.address);
@@ -171,7 +171,7 @@
     for (const std::string& id : update.restarted_ids)  // connections to its previous process are dead
         if (const auto endpoint = directory_.find(id)) delivery_->close_idle(*endpoint);
     observe(event);
-    recovery_.listed();
+    recovery_.apply_list();
     if (!update.more_follows) observe_routes();  // endpoints that routes name may now have numbers
 }
 
@@ -180,7 +180,7 @@
 bool Forwarder::may_send(const Call& call, const Tcp::endpoint& address) const {
     const std::string* name = directory_.name_of(call.endpoint);
     const auto gate = name == nullptr ? TargetView::SendCheck::Gone
-                      : orders_.now().out(*name) || maintenance_.out(*name)
+                      : orders_.now().out(*name) || maintenance_.is_target_out(*name)
                           ? TargetView::SendCheck::Draining
                           : discovery_.view().check_send(*name, address, call.destination);
     const bool must_wait = sender_.wait_until(call.endpoint) > steady_now();
@@ -210,7 +210,7 @@
     if (!directory_.has_destination(message.destination, std::chrono::steady_clock::now()) &&
         !directory_.empty())
         return on_reply(discovery_.view().has_full_list() ? Reply::rejected("unknown destination")
-                                                  : Reply::busy(kRetryAfterFull));
+                                                          : Reply::busy(kRetryAfterFull));
     if (journal_.unended() + submitted_.size() >= config_.settings.most_held)
         return on_reply(Reply::busy(kRetryAfterFull));
     const std::string& kind = kind_of(message.destination);
@@ -245,14 +245,14 @@
     const Entry* entry = journal_.find(event.message);
     if (entry != nullptr && !entry->notice) {
         if (event.wait > Time(0))  // recorded before anything that depends on it
-            recovery_.wait_told(event.endpoint, entry->message.destination, event.wait);
+            recovery_.record_retry_after(event.endpoint, entry->message.destination, event.wait);
         if (event.terminal)
             journal_.delivered(event.message), recently_ended_.add(event.message, steady_now()),
-                recovery_.over(event.message, event.outcome == Outcome::Served);
+                recovery_.on_message_ended(event.message, event.outcome == Outcome::Served);
         else
             journal_.end_attempt(event.message, proves_never_ran(event.outcome));
     }
-    recovery_.outcome(event);
+    recovery_.on_outcome(event);
     if (event.outcome == Outcome::Served)
         if (const std::string* name = directory_.name_of(event.endpoint))
             planner_.record_answer(*name, event.rtt, steady_now());
@@ -339,11 +339,11 @@
     return {target != nullptr && journal_.begin_attempt(send.message, *target, moment_now()), attempt};
 }
 /// Records how a message ended that was accepted in an earlier turn.
-Forwarder::Recorded Forwarder::record_final_status(MessageId id, const Notice& status) {
+Forwarder::Recorded Forwarder::record_final_status(MessageId id, const FinalStatus& status) {
     if (journal_.find(id) == nullptr) return {};  // submitted in this turn: the reply is the final status
     journal_.end(id, status);
     recently_ended_.add(id, steady_now());
-    recovery_.over(id, false);
+    recovery_.on_message_ended(id, false);
     return {true, 0};
 }
 
@@ -412,7 +412,7 @@
 }
 void Forwarder::carry_out(const CloseIdle& close, const Recorded&) { delivery_->close_idle(close.endpoint); }
 void Forwarder::carry_out(const Forget& forget, const Recorded&) { directory_.forget(forget.endpoint); }
-void Forwarder::carry_out(const TellPeers& message, const Recorded&) { cluster_.tell(message); }
+void Forwarder::carry_out(const TellPeers& message, const Recorded&) { cluster_.send_to_peers(message); }
 void Forwarder::carry_out(const Log& line, const Recorded&) { log::info("module", line.text); }
 
 /// Sends the module the endpoints that each route allows, by the numbers under which the module knows them.
@@ -466,7 +466,7 @@
             {"held", held.contains(number) ? held.at(number) : 0}, {"endpoints", std::move(endpoints)}});
     }
     return {{"name", config_.name}, {"draining", draining_}, {"in_service", orders_.now().in_service()},
-        {"away_for_work", maintenance_.away()}, {"out_by_hand", orders_.now().all_out()},
+        {"away_for_work", maintenance_.out_of_service()}, {"out_by_hand", orders_.now().all_out()},
         {"held", journal_.unended()}, {"unconfirmed_ends", journal_.entries().size() - journal_.unended()},
         {"calls_out", delivery_->calls()}, {"slots", config_.settings.slots},
         {"most_held", config_.settings.most_held}, {"longest_turn_ms", longest},
@@ -474,7 +474,7 @@
         {"fronts", Json::array({frontend_->status()})}, {"destinations", std::move(destinations)}};
 }
 
-void Forwarder::control_capture(const std::string& command, Captures::Told on_done) {
+void Forwarder::control_capture(const std::string& command, CaptureControl::Reply on_done) {
     if (command == "start")
         captures_.start(std::move(on_done));
     else if (command == "stop")
@@ -493,7 +493,7 @@
 void Forwarder::drain() {
     if (std::exchange(draining_, true)) return;
     cluster_.leave(true);
-    recovery_.hurry();
+    recovery_.stop_pacing();
     schedule_turn();
     // The end of the hand-over leaves a second to deliver what the last clients submit.
     const admission::HandOver plan(hand_over_limits(config_.door), config_.settings.n_instances - 1);
@@ -526,7 +526,7 @@
 }
 
 void Forwarder::stop() {
-    recovery_.save();
+    recovery_.save_snapshot();
     const auto longest = std::chrono::duration_cast<std::chrono::microseconds>(longest_turn_);
     log::info("core", "ends", {{"longest_turn_us", longest.count()}});
     io_.stop();
--- a/src/core/forwarder.hpp
+++ b/src/core/forwarder.hpp
@@ -27,12 +27,12 @@
 
 #include "config/config.hpp"
 #include "containers/recent_set.hpp"
-#include "core/captures.hpp"
-#include "core/delivery.hpp"
+#include "core/capture_control.hpp"
+#include "core/cluster_membership.hpp"
+#include "core/front.hpp"
 #include "core/frontend.hpp"
+#include "core/maintenance.hpp"
 #include "core/recovery_coordinator.hpp"
-#include "core/tier.hpp"
-#include "core/work.hpp"
 #include "discovery/discovery_client.hpp"
 #include "discovery/target_registry.hpp"
 #include "handover/knowledge.hpp"
@@ -87,10 +87,10 @@
     /// release, and when the recovery was complete.
     Json recovery_status() const { return recovery_.status(); }
     /// Planned maintenance, which takes machines out of service in turn; docs/operators/work.md.
-    Work& maintenance() { return maintenance_; }
+    Maintenance& maintenance() { return maintenance_; }
     /// `command`: "start", "stop" or "keep". `on_done` is called with the next decision; at once, with an
     /// error text, if the command is none of these.
-    void control_capture(const std::string& command, Captures::Told on_done);
+    void control_capture(const std::string& command, CaptureControl::Reply on_done);
     /// Carries out an operator's order. The order is stored on disk before the answer is yes, and holds from
     /// then on, also over restarts.
     operations::Answer execute_order(const operations::Order& order);
@@ -129,7 +129,7 @@
     // Routes, subsets, the cluster's members and the target list.
     void observe_routes();
     void update_subsets(cometspoke::Time now);
-    void apply_cluster_view(const TierWatch::Standing& view);
+    void apply_cluster_view(const ClusterMembership::Position& view);
     void reroute_held_messages();
     RouteId route_of(const Message& message) const;
     const std::string& kind_of(std::int64_t destination) const;
@@ -140,7 +140,7 @@
     void save_removed_targets();
 
     // Maintenance and operators' orders.
-    Work::Needs maintenance_callbacks();
+    Maintenance::Callbacks maintenance_callbacks();
     void observe_for_maintenance(work::Sight& observed);
     unsigned capacity_without(const work::Plan& plan, work::Machine machine);
     double used_share(cometspoke::DestinationId destination);
@@ -169,7 +169,7 @@
     void schedule_turn();
     Recorded record(const cometspoke::Action& action);
     Recorded record(const cometspoke::Send& send);
-    Recorded record_final_status(MessageId id, const Notice& status);
+    Recorded record_final_status(MessageId id, const FinalStatus& status);
     Replies accept_submitted(const std::vector<cometspoke::Action>& actions);
     void undo_turn(
         Replies& replies, const std::vector<cometspoke::Action>& actions, std::vector<Recorded>& recorded);
@@ -192,7 +192,7 @@
     void carry_out(const cometspoke::Probe&, const Recorded&) {}      // probes are not allowed on sockets
     void carry_out(const cometspoke::Watch&, const Recorded&) {}      // discovery is always watched
     void carry_out(const cometspoke::FetchList&, const Recorded&) {}  // the full list is fetched at the start
-    void end_message(MessageId id, const Notice& status);
+    void end_message(MessageId id, const FinalStatus& status);
 
     asio::io_context& io_;
     Config config_;  // with the changes that reloads have made
@@ -209,16 +209,17 @@
     std::function<void()> hand_over_done_;
     cometspoke::Sender sender_;
     TargetRegistry directory_;
-    Captures captures_;
+    CaptureControl captures_;
     routes::RoutingTable routes_;
     routes::EndpointIndex members_;  // listed targets by destination
     subsetting::SubsetPlanner planner_;
     std::unique_ptr<Delivery> delivery_;
     DiscoveryClient discovery_;
-    TierWatch cluster_;
-    std::optional<TierWatch::Standing> cluster_view_;  // none until it differs from the configured cluster
+    ClusterMembership cluster_;
+    std::optional<ClusterMembership::Position>
+        cluster_view_;  // none until it differs from the configured cluster
     RecoveryCoordinator recovery_;
-    Work maintenance_;
+    Maintenance maintenance_;
     bool out_for_maintenance_ = false;                           // as last applied to the frontend
     std::set<std::uint64_t> targets_in_maintenance_;             // as last reported to the module
     std::map<std::string, cometspoke::Time> maintenance_ended_;  // by target; until reported as cold
--- a/src/core/forwarder_handover_orders_reload.cpp
+++ b/src/core/forwarder_handover_orders_reload.cpp
@@ -188,7 +188,7 @@
     tenant_numbers_ = std::move(next.numbered_tenants);
     config_.connect_timeout = fresh.connect_timeout;
     config_.reports = fresh.reports;
-    if (cluster_view_) config_.settings.n_instances = cluster_view_->parts;
+    if (cluster_view_) config_.settings.n_instances = cluster_view_->limit_shares;
     update_class_terms();
     observe(SettingsEvent{config_.settings});
     discovery_.set_known_names(cometspoke::settings::names_in(config_.names.zones),
--- a/src/core/forwarder_maintenance.cpp
+++ b/src/core/forwarder_maintenance.cpp
@@ -10,7 +10,7 @@
 
 using namespace cometspoke;
 
-Work::Needs Forwarder::maintenance_callbacks() {
+Maintenance::Callbacks Forwarder::maintenance_callbacks() {
     return {[this](work::Sight& observed) { observe_for_maintenance(observed); },
         [this] { apply_maintenance(); }, [this] { drain(); }};
 }
@@ -20,7 +20,7 @@
     observed.serves = listening_ && !draining_ && orders_.now().in_service();
     observed.drained =
         frontend_->empty() && journal_.unended() == 0 && submitted_.empty() && delivery_->calls() == 0;
-    observed.warm = recovery_.full();
+    observed.warm = recovery_.complete();
     const auto& plan = maintenance_.plan();
     if (!plan) return;
     // hosts with no serving target although the plan has not taken them out
@@ -34,7 +34,7 @@
     for (const work::Place& place : plan->machines)
         if (work::is_host(place.machine) &&
             std::none_of(place.targets.begin(), place.targets.end(),
-                [&](auto name) { return serves(name) || maintenance_.out(name); }))
+                [&](auto name) { return serves(name) || maintenance_.is_target_out(name); }))
             observed.lost.push_back(place.machine);
     observed.left = [this, &plan](work::Machine machine) { return capacity_without(*plan, machine); };
     observed.let_go = [this, &plan](work::Machine machine) {
@@ -45,7 +45,7 @@
             const auto& names = plan->machines[*index].targets;
             if (std::find(names.begin(), names.end(), subsetting::gossip_id(id)) == names.end()) return;
             const auto endpoint = sender_.state().endpoints_.find(number);
-            free = free && maintenance_.out(subsetting::gossip_id(id)) &&
+            free = free && maintenance_.is_target_out(subsetting::gossip_id(id)) &&
                    (endpoint == sender_.state().endpoints_.end() || endpoint->second.in_flight == 0);
         });
         return free;
@@ -69,7 +69,8 @@
             const bool leaves = std::find(removed.begin(), removed.end(), name) != removed.end();
             affected = affected || leaves;
             total += size;
-            if (!leaves && member.condition == Condition::Ready && !maintenance_.out(name)) remaining += size;
+            if (!leaves && member.condition == Condition::Ready && !maintenance_.is_target_out(name))
+                remaining += size;
         }
         if (!affected || total <= 0) continue;
         const double used = used_share(destination);
@@ -94,16 +95,17 @@
 /// The forwarder is in service unless an operator or maintenance has taken it out. Tells the clients'
 /// frontend and the other forwarders.
 void Forwarder::update_in_service() {
-    const bool in_service = orders_.now().in_service() && !maintenance_.away();
+    const bool in_service = orders_.now().in_service() && !maintenance_.out_of_service();
     frontend_->set_in_service(in_service);
     cluster_.leave(!in_service || draining_);
 }
 
 /// Applies changes of what the plan takes out of service: this forwarder, or targets.
 void Forwarder::apply_maintenance() {
-    if (std::exchange(out_for_maintenance_, maintenance_.away()) != maintenance_.away() && listening_)
+    if (std::exchange(out_for_maintenance_, maintenance_.out_of_service()) != maintenance_.out_of_service() &&
+        listening_)
         update_in_service();
-    const auto& out = maintenance_.all_out();
+    const auto& out = maintenance_.targets_out();
     if (out == targets_in_maintenance_) return;
     const std::set<std::uint64_t> before = std::exchange(targets_in_maintenance_, out);
     TargetView::Update update;
--- a/src/core/forwarder_recovery.cpp
+++ b/src/core/forwarder_recovery.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "base/worth.hpp"
+#include "base/value_decay.hpp"
 #include "core/clocks.hpp"
 #include "core/forwarder.hpp"
 #include "logging/log.hpp"
@@ -18,7 +18,7 @@
 /// The time left until a message's deadline. Never more than the deadline of its class, even if a clock was
 /// set meanwhile.
 Time time_left(const Message& message, const ClassSettings& terms, const Moment& now) {
-    return std::min(until(message.deadline, now), terms.deadline);
+    return std::min(time_until(message.deadline, now), terms.deadline);
 }
 /// How long ago an attempt began. If no clock can tell, an age just beyond the deduplication window, because
 /// a repeat after the window would take effect twice.
@@ -68,25 +68,25 @@
             statements.push_back({recovery::Said::What::Out, subsetting::gossip_id(id), {}});
         return statements;
     };
-    recovery_.tells = targets_out;
+    recovery_.facts_for_peers = targets_out;
     recovery_.start(handed_over, !orders_.now().all_out().empty() || !orders_.now().in_service());
-    paused_for_peer_orders_ = recovery_.asking() && recovery_.orders_lost();
+    paused_for_peer_orders_ = recovery_.awaiting_peers() && recovery_.orders_lost();
     apply_pause();
 }
 
 /// Once the peers have answered or their time is over, attempts may begin. If this forwarder's orders are
 /// lost, targets that peers know to be out by its operators' orders are taken out again.
 void Forwarder::apply_peer_state() {
-    if (!peer_state_applied_ && !recovery_.asking()) {
+    if (!peer_state_applied_ && !recovery_.awaiting_peers()) {
         peer_state_applied_ = true;
         paused_for_peer_orders_ = false;
         apply_pause();
     }
-    if (recovery_.asking() || !recovery_.orders_lost() || recovery_.taken().out.empty()) return;
+    if (recovery_.awaiting_peers() || !recovery_.orders_lost() || recovery_.peer_facts().out.empty()) return;
     std::vector<std::string> out;
     directory_.for_each([&](EndpointId, const std::string& id) {
         const std::uint64_t name = subsetting::gossip_id(id);
-        if (recovery_.taken().out.contains(name) && out_by_peers_.insert(name).second) out.push_back(id);
+        if (recovery_.peer_facts().out.contains(name) && out_by_peers_.insert(name).second) out.push_back(id);
     });
     for (const std::string& id : out) {
         const auto answer = execute_order({operations::Order::Kind::Offline, id});
@@ -121,7 +121,7 @@
         recovery::Owed item{message.id, message.destination, 0, time_left(message, terms, now), {}, false};
         const Time accepted_at = item.left - terms.deadline;
         item.worth = item.left <= Time(0) ? 0
-                                          : terms.worth * worth_left(terms, config_.settings.loses_worth,
+                                          : terms.worth * remaining_value(terms, config_.settings.loses_worth,
                                                               accepted_at, Time(0));
         if (terms.sequential && !message.key.empty()) item.line = std::hash<std::string>()(message.key);
         const auto& doubt = entry->may_have_run();
@@ -131,7 +131,7 @@
                           (terms.effect == Effect::Dedup && age_of(*doubt, terms, now) > terms.window)));
         backlog.push_back(item);
     }
-    if (!at_once && config_.recovery.pace) return recovery_.owe(std::move(backlog));
+    if (!at_once && config_.recovery.pace) return recovery_.set_backlog(std::move(backlog));
     for (const auto& item : backlog) resume_message(*journal_.find(item.id));
 }
 /// Passes a message of an earlier process to the module, with what is known of its attempts.
@@ -148,25 +148,25 @@
     if (const auto tenant = tenant_numbers_.find(message.tenant); tenant != tenant_numbers_.end())
         event.tenant = tenant->second;
     // a message that cannot be delivered in time gets its final status now, not at its deadline
-    event.left = recovery_.hopeless(message.id) ? Time(0) : time_left(message, terms, now);
+    event.left = recovery_.cannot_meet_deadline(message.id) ? Time(0) : time_left(message, terms, now);
     event.route = route_of(message);
     event.attempts = entry.attempts;
     if (const auto& first = entry.may_have_run())
         event.doubt = MessageEvent::Doubt{age_of(*first, terms, now), directory_.number_of(first->target)};
-    else if (recovery_.folder_older())  // a restored copy: the message may have been sent since
-        event.doubt = MessageEvent::Doubt{*recovery_.folder_older(), {}};
+    else if (recovery_.stale_folder_age())  // a restored copy: the message may have been sent since
+        event.doubt = MessageEvent::Doubt{*recovery_.stale_folder_age(), {}};
     notify_module(event);
 }
 /// Resumes the messages that the pacing of the backlog releases now.
 void Forwarder::resume_released_messages(Time now) {
     apply_peer_state();
-    for (const MessageId id : recovery_.take_up(now))
+    for (const MessageId id : recovery_.release_backlog(now))
         if (const Entry* entry = journal_.find(id); entry != nullptr && !entry->notice)
             resume_message(*entry);
 }
 
 /// Ends a message of an earlier process that the module does not know: records and reports its final status.
-void Forwarder::end_message(MessageId id, const Notice& status) {
+void Forwarder::end_message(MessageId id, const FinalStatus& status) {
     journal_.end(id, status);
     discovery_.report_final_status(id, status);
 }
--- a/src/core/forwarder_subsetting.cpp
+++ b/src/core/forwarder_subsetting.cpp
@@ -31,10 +31,11 @@
 
 /// Other forwarders have joined or left the cluster: its subsets, its share of limits and the pace of its
 /// requests to discovery follow.
-void Forwarder::apply_cluster_view(const TierWatch::Standing& view) {
+void Forwarder::apply_cluster_view(const ClusterMembership::Position& view) {
     cluster_view_ = view;
-    planner_.set_position(subsetting::evenly_spaced_position(view.rank, view.present), view.present, view.parts);
-    config_.settings.n_instances = view.parts;
+    planner_.set_position(
+        subsetting::evenly_spaced_position(view.rank, view.present), view.present, view.limit_shares);
+    config_.settings.n_instances = view.limit_shares;
     discovery_.set_forwarder_count(view.present);
     observe(SettingsEvent{config_.settings});
 }
--- a/src/discovery/agent_connection.cpp
+++ b/src/discovery/agent_connection.cpp
@@ -32,7 +32,7 @@
 void AgentConnection::connect() {
     boost::system::error_code error;  // if the socket stays closed, async_connect reports the error
     socket_.open(address_.protocol(), error);
-    if (error && out_of_descriptors(error.value()) && spare_.give_back())
+    if (error && out_of_descriptors(error.value()) && spare_.release())
         socket_.open(address_.protocol(), error);
     socket_.async_connect(address_, for_current_request([](AgentConnection& self, auto error) {
         if (error) return self.finish_with_error(error.message());
--- a/src/discovery/discovery_client.cpp
+++ b/src/discovery/discovery_client.cpp
@@ -298,13 +298,13 @@
             {"for_s", seconds(now - failing_since_)}});
 }
 
-void DiscoveryClient::confirm_without_agent(MessageId id, const Notice& notice) {
+void DiscoveryClient::confirm_without_agent(MessageId id, const FinalStatus& notice) {
     log::info("core", "ended",
-        {{"message", cometspoke::settings::id_text(id)}, {"as", notice.bounced ? "bounced" : "dead"}});
+        {{"message", cometspoke::settings::id_text(id)}, {"as", notice.refused ? "bounced" : "dead"}});
     boost::asio::post(io_, [this, id] { on_confirmed_(id); });
 }
 
-void DiscoveryClient::report_final_status(MessageId id, const Notice& notice) {
+void DiscoveryClient::report_final_status(MessageId id, const FinalStatus& notice) {
     if (!address_) return confirm_without_agent(id, notice);
     unconfirmed_.insert_or_assign(id, notice);
     report_poller_.set_enabled(true);
@@ -316,8 +316,8 @@
     for (const auto& [id, notice] : unconfirmed_) {
         if (sent.size() == kMaxStatusesPerPost) break;
         Json line{
-            {"ref", cometspoke::settings::id_text(id)}, {"result", notice.bounced ? "bounced" : "dead"}};
-        if (notice.bounced && notice.wait > 0ms) line["wait_ms"] = notice.wait.count();
+            {"ref", cometspoke::settings::id_text(id)}, {"result", notice.refused ? "bounced" : "dead"}};
+        if (notice.refused && notice.retry_after > 0ms) line["wait_ms"] = notice.retry_after.count();
         body += line.dump() + "\n";
         sent.push_back(id);
     }
--- a/src/discovery/discovery_client.hpp
+++ b/src/discovery/discovery_client.hpp
@@ -20,7 +20,7 @@
 #include <vector>
 
 #include "background/worker.hpp"
-#include "base/notice.hpp"
+#include "base/final_status.hpp"
 #include "discovery/poller.hpp"
 #include "discovery/target_view.hpp"
 
@@ -62,7 +62,7 @@
     void set_forwarder_count(std::size_t forwarder_count);
     void set_drain_grace(std::chrono::milliseconds grace);
     /// Posts a final status until the agent answers 204. Without an agent it is logged and confirmed at once.
-    void report_final_status(MessageId id, const Notice& notice);
+    void report_final_status(MessageId id, const FinalStatus& notice);
 
     const TargetView& view() const { return view_; }
     /// The view in the format of Settings::known_list, to be passed to another process; null if it is empty.
@@ -70,7 +70,7 @@
 
 private:
     void apply_poll_limits();
-    void confirm_without_agent(MessageId id, const Notice& notice);
+    void confirm_without_agent(MessageId id, const FinalStatus& notice);
     Poller::Request make_list_request(std::uint64_t request);
     /// An answer after parsing, independent of the view.
     struct ParsedAnswer {
@@ -104,7 +104,7 @@
     OnConfirmed on_confirmed_;
     TargetView view_;
     std::map<std::uint64_t, TargetView::ListRequest> list_requests_;  // in flight, by request number
-    std::map<MessageId, Notice> unconfirmed_;
+    std::map<MessageId, FinalStatus> unconfirmed_;
     std::map<std::uint64_t, std::vector<MessageId>> posted_;  // ids in each post in flight, by request number
     std::size_t consecutive_failures_ = 0;                    // of the list poll
     TargetView::Time failing_since_{}, failure_logged_at_{};
--- a/src/discovery/poller.cpp
+++ b/src/discovery/poller.cpp
@@ -54,7 +54,7 @@
     if (on_partial_answer_)
         for (const std::uint64_t request : steps.inspect) inspect_partial(request);
     if (steps.start) start_request(*steps.start);
-    spare_descriptor_.take();
+    spare_descriptor_.acquire();
     arm_timer();
 }
 
--- a/src/program/service.cpp
+++ b/src/program/service.cpp
@@ -33,7 +33,7 @@
 
 config::PlanScene plan_scene(Forwarder& forwarder) {
     config::PlanScene scene;
-    scene.members = forwarder.maintenance().members();
+    scene.members = forwarder.maintenance().member_count();
     for (const auto& [destination, members] : forwarder.members().by_destination())
         for (const auto& one : members) scene.targets.push_back({one.id, destination, 1});
     scene.whole = !scene.targets.empty();
@@ -182,12 +182,13 @@
         wrong.empty() ? promise(Json{{"done", what}}) : promise(control::Refused(wrong));
     };
     if (what == "request")
-        return forwarder_.maintenance().request(args.value("for_s", 600.0), args.value("why", ""), told);
+        return forwarder_.maintenance().request_for_self(
+            args.value("for_s", 600.0), args.value("why", ""), told);
     if (what != "plan") return forwarder_.maintenance().order(what, args.value("machine", ""), told);
     config::Problems problems(args.value("name", "the plan"));
     const auto plan = config::read_plan(args.value("text", ""), plan_scene(forwarder_), problems);
     if (!plan) return told(problems.text());
-    forwarder_.maintenance().plan(work::bytes_of(*plan), args.value("approve", false), told);
+    forwarder_.maintenance().submit_plan(work::bytes_of(*plan), args.value("approve", false), told);
 }
 Json Service::status() const {
     Json all = forwarder_.status();
--- a/src/subsetting/hash_ring.cpp
+++ b/src/subsetting/hash_ring.cpp
@@ -5,7 +5,7 @@
 #include <tuple>
 #include <utility>
 
-#include "base/mix.hpp"
+#include "base/splitmix64.hpp"
 
 namespace lockgw::subsetting {
 namespace {
@@ -15,7 +15,7 @@
 std::uint64_t hash_of(std::string_view text) {  // FNV-1a: the same in every build
     std::uint64_t hash = 0xcbf29ce484222325u;
     for (const char letter : text) hash = (hash ^ static_cast<unsigned char>(letter)) * 0x100000001b3u;
-    return mixed(hash);
+    return splitmix64(hash);
 }
 double fractional_part(double value) { return value - std::floor(value); }
 /// Maps the upper 53 bits to [0, 1).
@@ -26,7 +26,7 @@
 double evenly_spaced_position(std::size_t number, std::size_t count) {
     return count == 0 ? 0 : fractional_part((static_cast<double>(number) + 0.5) / static_cast<double>(count));
 }
-double hashed_position(std::uint64_t seed) { return unit_interval(mixed(seed)); }
+double hashed_position(std::uint64_t seed) { return unit_interval(splitmix64(seed)); }
 
 std::uint64_t gossip_id(std::string_view id) {
     constexpr std::uint64_t marker_bit = std::uint64_t{1} << kGossipIdBits;
@@ -35,7 +35,7 @@
 
 bool HashRing::put(const std::string& id, double size) {
     if (!(size > 0 && size < 1e9)) size = 1;
-    const std::uint64_t hash = mixed(hash_of(id) ^ mixed(static_cast<std::uint64_t>(destination_)));
+    const std::uint64_t hash = splitmix64(hash_of(id) ^ splitmix64(static_cast<std::uint64_t>(destination_)));
     const auto key = std::tie(hash, id);
     const auto place = std::lower_bound(
         segments_.begin(), segments_.end(), key, [](const Segment& segment, const auto& wanted) {
@@ -61,7 +61,7 @@
     // Rotated for each destination: otherwise the segment boundaries of all destinations with few targets
     // would fall on the same forwarders.
     const double middle =
-        fractional_part(position + unit_interval(mixed(static_cast<std::uint64_t>(destination_) + 1)));
+        fractional_part(position + unit_interval(splitmix64(static_cast<std::uint64_t>(destination_) + 1)));
     const double from = middle - range / 2, to = middle + range / 2;
     double begin = 0, sum = 0;
     for (const Segment& segment : segments_) {
--- a/tests/dedup_window_test.cpp
+++ b/tests/dedup_window_test.cpp
@@ -110,7 +110,7 @@
 // After a reboot with the wall clock set back, no clock tells how long ago the call was.
 TEST_F(ClockSetDuringRestart, NothingIsRetriedWhenNoClockTellsTheAge) {
     Moment other_boot = moment_at(-1ms, 1h);
-    ++other_boot.boot;
+    ++other_boot.boot_id;
     leave_in_journal(1, "keyed", moment_at(60s, 60s), other_boot);
     start_with({member("s-0", 0)});
     ASSERT_TRUE(eventually([&] { return !directory.notices().empty(); })) << node.log();
