--- a/src/policy/load_shedding.hpp
+++ b/src/policy/load_shedding.hpp
@@ -1,4 +1,9 @@
-/// What is turned away: tenants over their quota, and who goes where the room is nearly full.
+/// Load shedding: which messages are ended early because too many are held, and which tenants are over their
+/// quota.
+///
+/// When more than 90 % of Settings::most_held are held (kFreeCapacityShare), shed_load() ends the messages
+/// that will be of the least value by the time they can be delivered. Messages that may have run are never
+/// shed. A message over its tenant's quota is not refused: it only counts less (Settings::over_share_worth).
 #pragma once
 
 #include "policy/message_lifecycle.hpp"
@@ -8,67 +13,74 @@
 struct LoadShedding : MessageLifecycle {
     using MessageLifecycle::MessageLifecycle;
 
-    // A tenant's own part of its quota, as a tag that may run ahead by kQuotaBurst.
+    // This sender's part of a tenant's quota, as a tag that may run ahead of the clock by kQuotaBurst.
     bool over_quota(std::size_t index, Time now) {
-        const Time gap = gap_of(settings_.tenants[index].quota_per_s / senders());
+        const Time gap = gap_of(settings_.tenants[index].quota_per_s / sender_count());
         const Time next = std::max(quota_tags_[index], now) + gap;
         if (next > now + std::max(gap, kQuotaBurst)) return true;
         quota_tags_[index] = next;
         return false;
     }
-    // Nearly full: of those that may be refused, the one that will be worth least when its turn comes goes. A
-    // destination that is down thus cannot fill the room of the others; its clients come again meanwhile.
-    void keep_room(Time now) {
-        const auto most =
-            static_cast<std::size_t>(static_cast<double>(settings_.most_held) * (1.0 - kRoomKept));
-        while (messages_.size() > std::max<std::size_t>(1, most)) {
-            const auto least = messages_.size() <= kExactHeld ? least_of_all(now) : least_of_some(now);
+    // Of the messages that may be refused, ends the one that will be of the least value when its turn comes,
+    // until enough capacity is free. So a destination that is down cannot use up the capacity of the others;
+    // its clients retry meanwhile.
+    void shed_load(Time now) {
+        const auto capacity =
+            static_cast<std::size_t>(static_cast<double>(settings_.most_held) * (1.0 - kFreeCapacityShare));
+        while (messages_.size() > std::max<std::size_t>(1, capacity)) {
+            const auto least = messages_.size() <= kMaxHeldForExactShedding ? lowest_value_of_all(now)
+                                                                            : lowest_value_of_sample(now);
             if (!least) return;
-            end(*least, now);
+            end_message(*least, now);
         }
     }
-    struct Least {
+    struct ShedCandidate {
         std::optional<MessageId> id;
-        double worth = 0.0;
+        double value = 0.0;
     };
-    std::optional<MessageId> least_of_all(Time now) const {
-        Least least;
+    std::optional<MessageId> lowest_value_of_all(Time now) const {
+        ShedCandidate least;
         for (const auto& [destination_id, destination] : active_destinations_) {
-            Time turn = now + stalled(*destination, now);
+            Time turn = now + expected_outage(*destination, now);
             for (const auto& [arrival, id] : destination->held)
-                weigh(least, id, turn += gap_of(drain_rate(*destination)));
+                consider_for_shedding(least, id, turn += gap_of(drain_rate(*destination)));
         }
         return least.id;
     }
-    // Where very many are held: both ends of the longest lines, and of some others in turn.
-    std::optional<MessageId> least_of_some(Time now) {
-        Least least;
+    // With very many messages held: looks only at both ends of the longest queues and of some others, taken
+    // in turn.
+    std::optional<MessageId> lowest_value_of_sample(Time now) {
+        ShedCandidate least;
         auto longest = by_held_count_.rbegin();
-        for (std::size_t i = 0; i < kLookAt && longest != by_held_count_.rend(); ++i, ++longest)
-            weigh_ends(least, *active_destinations_.at(longest->second), now);
+        for (std::size_t i = 0; i < kShedScanDestinations && longest != by_held_count_.rend(); ++i, ++longest)
+            consider_queue_ends(least, *active_destinations_.at(longest->second), now);
         auto next = active_destinations_.upper_bound(shed_scan_cursor_);
-        for (std::size_t i = 0; i < kLookAt && !active_destinations_.empty(); ++i, ++next) {
+        for (std::size_t i = 0; i < kShedScanDestinations && !active_destinations_.empty(); ++i, ++next) {
             if (next == active_destinations_.end()) next = active_destinations_.begin();
             shed_scan_cursor_ = next->first;
-            weigh_ends(least, *next->second, now);
+            consider_queue_ends(least, *next->second, now);
         }
         return least.id;
     }
-    void weigh_ends(Least& least, const Destination& destination, Time now) const {
-        const Time start = now + stalled(destination, now), gap = gap_of(drain_rate(destination));
+    // Takes the messages at both ends of the destination's queue into account, each at its expected delivery
+    // time.
+    void consider_queue_ends(ShedCandidate& least, const Destination& destination, Time now) const {
+        const Time start = now + expected_outage(destination, now), gap = gap_of(drain_rate(destination));
         const auto size = static_cast<Time::rep>(destination.held.size());
         auto first = destination.held.begin();
         auto last = destination.held.rbegin();
-        for (Time::rep i = 0; i < std::min<Time::rep>(kLookEnds, size); ++i, ++first, ++last) {
-            weigh(least, first->second, start + gap * (i + 1));
-            weigh(least, last->second, start + gap * (size - i));
+        for (Time::rep i = 0; i < std::min<Time::rep>(kShedScanPerQueueEnd, size); ++i, ++first, ++last) {
+            consider_for_shedding(least, first->second, start + gap * (i + 1));
+            consider_for_shedding(least, last->second, start + gap * (size - i));
         }
     }
-    void weigh(Least& least, MessageId id, Time turn) const {
+    // Keeps the message in `least` if it may be shed and is of less value; `turn`: its expected delivery
+    // time.
+    void consider_for_shedding(ShedCandidate& least, MessageId id, Time turn) const {
         const Message& message = messages_.at(id);
         if (message.out > 0 || message.doubt_since) return;
-        const double worth = worth_of(message, turn);
-        if (!least.id || worth < least.worth) least = {id, worth};
+        const double value = value_at(message, turn);
+        if (!least.id || value < least.value) least = {id, value};
     }
 };
 
--- a/src/policy/mclock_tags.hpp
+++ b/src/policy/mclock_tags.hpp
@@ -1,4 +1,11 @@
-/// Whose turn it is: destinations that hold messages, ordered by share tag; who cannot go is parked.
+/// The mClock tags and the order in which destinations that hold messages (active destinations) are served.
+///
+/// mClock gives the message at the head of each destination three tags, which are points in time:
+/// - R (reservation_tag): the destination is entitled to a call from then on, by its reservation r;
+/// - L (limit_tag): no call before then, by this sender's rate limit l; kept per Route;
+/// - P (share_tag): among destinations within their limits the smallest goes first, by the weight w.
+/// A destination that cannot send now is parked: it is looked at again only after something of it has
+/// changed.
 #pragma once
 
 #include "policy/state.hpp"
@@ -8,8 +15,8 @@
 struct MclockTags : State {
     using State::State;
 
-    // Something of a destination has changed: it stands where its health and its calls put it, and its dues
-    // are looked up anew.
+    // To be called when anything of a destination has changed: unparks it, puts it into the order that fits
+    // its health and its calls, and computes its next due time anew.
     void reschedule(DestinationId id, Time now) {
         const auto found = destinations_.find(id);
         if (found == destinations_.end()) return;
@@ -22,11 +29,12 @@
         due == kNever ? destination_due_queue_.erase(id) : destination_due_queue_.set(id, due);
     }
     void enter_order(DestinationId id, Destination& destination) {
-        destination.order = !ailing(destination)         ? &healthy_order_
-                            : destination.in_flight == 0 ? &unhealthy_idle_order_
-                                                         : &unhealthy_busy_order_;
+        destination.order = !has_unhealthy_endpoint(destination) ? &healthy_order_
+                            : destination.in_flight == 0         ? &unhealthy_idle_order_
+                                                                 : &unhealthy_busy_order_;
         destination.order->insert({destination.share_tag, id});
     }
+    // Does nothing for a parked destination.
     void leave_order(DestinationId id, Destination& destination) {
         if (destination.order != nullptr) destination.order->erase({destination.share_tag, id});
         destination.order = nullptr;
@@ -38,14 +46,16 @@
         by_share_tag_.insert({tag, id});
         if (!destination.parked) enter_order(id, destination);
     }
-    // The tags of the head: R = max(R+1/r, now), L = max(L+1/l, now), P = max(P+1/w, now-sigma/w). They
-    // stepped when the last head left; here the arrival time comes in, and P shifts so that all start level.
+    // A destination that held nothing gets its first message. The tags of the head are R = max(R+1/r, now),
+    // L = max(L+1/l, now) and P = max(P+1/w, now-sigma/w). The increments were added when the last head left
+    // (advance_tags); here the arrival time comes in. All P tags shift so that the smallest of the others and
+    // the newcomer's start level.
     void activate(DestinationId id, Destination& newcomer, Time now) {
         const double w = slot_weight(newcomer);
         newcomer.reservation_tag = std::max(newcomer.reservation_tag, now);
-        newcomer.share_tag = std::max(newcomer.share_tag, now - from_seconds(kSigma / w));
+        newcomer.share_tag = std::max(newcomer.share_tag, now - from_seconds(kIdleCreditCalls / w));
         newcomer.shared.limit_tag = std::max(newcomer.shared.limit_tag, now);
-        // all others shift at once: their tags are kept less this sum
+        // the others shift at once: share_tag_offset_ is part of the tag of each
         if (!by_share_tag_.empty())
             share_tag_offset_ += newcomer.share_tag - (by_share_tag_.begin()->first + share_tag_offset_);
         newcomer.share_tag -= share_tag_offset_;
@@ -57,23 +67,29 @@
         destination.share_tag += share_tag_offset_;
         active_destinations_.erase(id), destination_due_queue_.erase(id);
     }
-    // The slot cap. Sick destinations together leave half of the slots to the healthy.
-    bool under_cap(const Destination& destination) const {
+    // Limits the slots of one destination. For unhealthy destinations together see
+    // unhealthy_order_may_send().
+    bool below_slot_cap(const Destination& destination) const {
         const double slots = static_cast<double>(settings_.slots);
         return destination.in_flight == 0 || destination.in_flight + 1 < kMaxDestinationSlotShare * slots;
     }
-    bool sick_may_go(const Destination& one) const { return sick_order_may_go(one.in_flight == 0); }
-    // One trial each while slots are left: after a stall of all, stuck calls must not keep them unheard.
-    bool sick_order_may_go(bool idle) const {
+    bool unhealthy_may_send(const Destination& destination) const {
+        return unhealthy_order_may_send(destination.in_flight == 0);
+    }
+    // Unhealthy destinations together leave half of the slots to the healthy ones. One without a call out
+    // (`idle`) may go beyond that while slots are left: after an outage of all, stuck calls must not keep it
+    // from its trial.
+    bool unhealthy_order_may_send(bool idle) const {
         const double slots = static_cast<double>(settings_.slots);
-        if (idle && static_cast<double>(calls_.size()) < kScarce * slots) return true;
-        return unhealthy_calls_ + 1 <= std::max(1.0, kSickShare * slots);
+        if (idle && static_cast<double>(calls_.size()) < kScarceSlotShare * slots) return true;
+        return unhealthy_calls_ + 1 <= std::max(1.0, kMaxUnhealthySlotShare * slots);
     }
-    int sick_calls() const {
+    int count_unhealthy_calls() const {
         return static_cast<int>(std::count_if(calls_.begin(), calls_.end(),
-            [this](const auto& entry) { return ailing(*entry.second.at->home); }));
+            [this](const auto& entry) { return has_unhealthy_endpoint(*entry.second.at->home); }));
     }
-    // The earliest moment after now at which a tag, wait or budget of the destination falls due.
+    // The earliest time after `now` at which a tag, a wait or a recovery budget of the destination falls due;
+    // kNever if none does.
     Time next_due(const Destination& destination, Time now) {
         Time next = destination.spill_tag > now ? destination.spill_tag : kNever;
         if (settings_.floor_per_s > 0 && destination.reservation_tag > now)
--- a/src/policy/message_lifecycle.hpp
+++ b/src/policy/message_lifecycle.hpp
@@ -1,4 +1,9 @@
-/// The life of a message: held, out, in doubt, pausing, ended; and of the lines of keys in order.
+/// The states of a message, from its arrival to its final answer, and the queues of ordering keys.
+///
+/// A message is held until it ends. Meanwhile it is out (an attempt is under way), in backoff after a failed
+/// attempt, waiting for its ordering key, or ready. It is doubtful once an attempt may have run:
+/// apply_outcome() decides that, and backoff_after() and resend_deadline() decide when and until when it may
+/// be retried.
 #pragma once
 
 #include "policy/endpoint_health.hpp"
@@ -8,141 +13,159 @@
 struct MessageLifecycle : EndpointHealth {
     using EndpointHealth::EndpointHealth;
 
-    void settle(const OutcomeEvent& event, const Call& call, Time now) {
+    // An attempt of a message has ended: with its final answer the message goes, otherwise it is held for a
+    // retry.
+    void apply_outcome(const OutcomeEvent& event, const Call& call, Time now) {
         const bool never_ran = event.outcome == Outcome::TurnedAway ||
                                event.outcome == Outcome::NoConnection || event.outcome == Outcome::NotSent;
         const auto found = messages_.find(event.message);
         if (found == messages_.end()) return;
         Message& message = found->second;
         --message.out;
-        if (event.terminal || event.outcome == Outcome::Served) return forget(event.message, now);
-        message.not_before = now + pause_after(message, now);
+        if (event.terminal || event.outcome == Outcome::Served) return remove_message(event.message, now);
+        message.not_before = now + backoff_after(message, now);
         if (!never_ran && (!message.doubt_since || call.sent < *message.doubt_since)) {
             message.doubt_since = call.sent;
-            set_doubt(message, call.endpoint);
+            set_doubtful_endpoint(message, call.endpoint);
         }
-        changed(event.message, now);
+        message_changed(event.message, now);
     }
-    void set_doubt(Message& message, std::optional<EndpointId> at) {
+    void set_doubtful_endpoint(Message& message, std::optional<EndpointId> endpoint) {
         if (message.doubt_at && --doubtful_counts_.at(*message.doubt_at) == 0)
             doubtful_counts_.erase(*message.doubt_at);
-        message.doubt_at = at;
-        if (at) ++doubtful_counts_[*at];
+        message.doubt_at = endpoint;
+        if (endpoint) ++doubtful_counts_[*endpoint];
     }
-    // A message has changed: when it ends, when its pause does, and whether it may go stand anew.
-    void changed(MessageId id, Time now) {
+    // To be called when anything of a message has changed: computes anew when it expires, when its backoff
+    // ends and whether it is ready.
+    void message_changed(MessageId id, Time now) {
         const auto found = messages_.find(id);
         if (found == messages_.end()) return;
         Message& message = found->second;
-        expiry_queue_.set(id, ends_at(message));
-        const bool pausing = message.out == 0 && message.not_before > now;
-        pausing ? backoff_queue_.set(id, message.not_before) : backoff_queue_.erase(id);
-        make_ready(
-            id, message, message.out == 0 && !pausing && (!message.key || turn_at(id, *message.key) <= now));
+        expiry_queue_.set(id, expires_at(message));
+        const bool in_backoff = message.out == 0 && message.not_before > now;
+        in_backoff ? backoff_queue_.set(id, message.not_before) : backoff_queue_.erase(id);
+        set_ready(id, message,
+            message.out == 0 && !in_backoff && (!message.key || key_turn_at(id, *message.key) <= now));
         reschedule(message.destination, now);
     }
-    void make_ready(MessageId id, Message& message, bool is_ready) {
+    void set_ready(MessageId id, Message& message, bool is_ready) {
         if (std::exchange(message.ready, is_ready) == is_ready) return;
         auto& ready = destinations_.at(message.destination).ready;
-        const std::size_t kind = message.message_class;
-        is_ready ? ready.put(kind, message.arrival, message.born, id)
-                 : ready.take(kind, message.arrival, message.born);
+        const std::size_t group = message.message_class;
+        is_ready ? ready.put(group, message.arrival, message.born, id)
+                 : ready.take(group, message.arrival, message.born);
     }
-    // Whose turn it is in a key's line, and from when on.
-    void line_changed(std::uint64_t key, Time now) {
+    // To be called when the queue of an ordering key has changed: computes anew when its first message may
+    // go, and when the queue may be removed.
+    void key_queue_changed(std::uint64_t key, Time now) {
         const auto found = key_queues_.find(key);
         if (found == key_queues_.end()) return key_pause_queue_.erase(key), key_cleanup_queue_.erase(key);
-        const KeyLine& line = found->second;
-        const bool rests = line.rest_until > now;
-        const bool stale = line.turn.empty() && line.out == 0 && rests;
-        stale ? key_cleanup_queue_.set(key, line.rest_until) : key_cleanup_queue_.erase(key);
-        const bool held_up =
-            !line.turn.empty() && line.out == 0 && rests && line.rest_for != line.turn.front();
-        held_up ? key_pause_queue_.set(key, line.rest_until) : key_pause_queue_.erase(key);
-        if (!line.turn.empty()) changed(line.turn.front(), now);
-    }
-    void hold(DestinationId id, Destination& destination, MessageId message_id, const Message& message) {
+        const KeyLine& queue = found->second;
+        const bool paused = queue.rest_until > now;
+        const bool unused = queue.turn.empty() && queue.out == 0 && paused;
+        unused ? key_cleanup_queue_.set(key, queue.rest_until) : key_cleanup_queue_.erase(key);
+        const bool blocked =
+            !queue.turn.empty() && queue.out == 0 && paused && queue.rest_for != queue.turn.front();
+        blocked ? key_pause_queue_.set(key, queue.rest_until) : key_pause_queue_.erase(key);
+        if (!queue.turn.empty()) message_changed(queue.turn.front(), now);
+    }
+    // Adds a new message to those that its destination holds.
+    void add_held(DestinationId id, Destination& destination, MessageId message_id, const Message& message) {
         by_held_count_.erase({destination.held.size(), id});
         destination.held.emplace(message.arrival, message_id);
         by_held_count_.insert({destination.held.size(), id});
         ++destination.held_of[message.message_class];
     }
-    // Doubling; from half of the allowed attempts on, those left are spread over the time left: otherwise
-    // they are used up in the middle of a long outage.
-    Time pause_after(const Message& message, Time now) const {
+    // The backoff after a failed attempt: exponential. From half of the allowed attempts on, the attempts
+    // left are spread over the time left, for otherwise they would be used up in the middle of a long outage.
+    Time backoff_after(const Message& message, Time now) const {
         const Time doubled =
-            kRetryGap * (1 << std::min<std::uint32_t>(message.attempts - 1, kPauseDoublings));
+            kFirstBackoff * (1 << std::min<std::uint32_t>(message.attempts - 1, kMaxBackoffDoublings));
         const std::size_t most = class_settings(message).max_attempts;
         if (message.attempts * 2 < most || message.attempts >= most) return doubled;
         const auto left = static_cast<Time::rep>(most - message.attempts);
         return std::max(doubled, (message.deadline - now) / (left + 1));
     }
-    void settle_key(std::uint64_t key, const OutcomeEvent& event, Time now) {
-        KeyLine& line = key_queues_.at(key);
-        --line.out;
+    // An attempt of a message with an ordering key has ended. If it may still be running, the next message of
+    // the key waits for Settings::settle_after_doubt; a repeat of the same message does not.
+    void apply_key_outcome(std::uint64_t key, const OutcomeEvent& event, Time now) {
+        KeyLine& queue = key_queues_.at(key);
+        --queue.out;
         if (event.outcome == Outcome::NoAnswer || event.outcome == Outcome::ConnectionLost ||
             event.outcome == Outcome::CalledOff)
-            line.rest_until = std::max(line.rest_until, now + settings_.settle_after_doubt),
-            line.rest_for = event.message;
-        drop_line(key, now);
-        line_changed(key, now);
-    }
-    void drop_line(std::uint64_t key, Time now) {
-        const KeyLine& line = key_queues_.at(key);
-        if (line.turn.empty() && line.out == 0 && line.rest_until <= now) key_queues_.erase(key);
-    }
-    Time turn_at(MessageId id, std::uint64_t key) const {
-        const KeyLine& line = key_queues_.at(key);
-        if (line.out > 0 || line.turn.front() != id) return kNever;
-        return line.rest_for == id ? kLongAgo : line.rest_until;
-    }
-    Time resend_until(const Message& message) const {
-        const ClassSettings& kind = settings_.classes[message.message_class];
-        if (kind.effect == Effect::Retryable || !message.doubt_since) return kNever;
-        if (kind.effect == Effect::Fragile) return kLongAgo;
-        return *message.doubt_since + kind.window - kDedupMargin;
-    }
-    // A message is over when its time is, or when no further attempt is allowed.
-    void end_overdue(Time now) {
-        std::vector<MessageId> over = expiry_queue_.due(now, kMostEnds);  // the rest by the next timer
-        std::sort(over.begin(), over.end());
-        for (const MessageId id : over) end(id, now);
-    }
-    Time ends_at(const Message& message) const {
+            queue.rest_until = std::max(queue.rest_until, now + settings_.settle_after_doubt),
+            queue.rest_for = event.message;
+        remove_key_queue_if_idle(key, now);
+        key_queue_changed(key, now);
+    }
+    void remove_key_queue_if_idle(std::uint64_t key, Time now) {
+        const KeyLine& queue = key_queues_.at(key);
+        if (queue.turn.empty() && queue.out == 0 && queue.rest_until <= now) key_queues_.erase(key);
+    }
+    // From when on the message may go as far as its ordering key allows; kNever while another one of the key
+    // goes first.
+    Time key_turn_at(MessageId id, std::uint64_t key) const {
+        const KeyLine& queue = key_queues_.at(key);
+        if (queue.out > 0 || queue.turn.front() != id) return kNever;
+        return queue.rest_for == id ? kLongAgo : queue.rest_until;
+    }
+    // Until when a further attempt may be sent without the message taking effect twice: any time while it is
+    // retryable or not doubtful, never for a doubtful fragile one, and for a dedup one until its window
+    // closes.
+    Time resend_deadline(const Message& message) const {
+        const ClassSettings& message_class = settings_.classes[message.message_class];
+        if (message_class.effect == Effect::Retryable || !message.doubt_since) return kNever;
+        if (message_class.effect == Effect::Fragile) return kLongAgo;
+        return *message.doubt_since + message_class.window - kDedupWindowMargin;
+    }
+    // Ends the messages whose deadline has passed, or that may have no further attempt.
+    void end_expired(Time now) {
+        std::vector<MessageId> expired =
+            expiry_queue_.due(now, kMaxEndsPerDecision);  // the rest with the next timer
+        std::sort(expired.begin(), expired.end());
+        for (const MessageId id : expired) end_message(id, now);
+    }
+    Time expires_at(const Message& message) const {
         if (message.out > 0) return message.deadline;
         if (message.attempts >= class_settings(message).max_attempts) return kLongAgo;
-        return std::min(message.deadline, resend_until(message));
+        return std::min(message.deadline, resend_deadline(message));
     }
+    // Whether the client may be told that the message never ran, or that a repeat of it does no harm
+    // (Refuse).
     bool may_refuse(const Message& message) const {
         if (message.out == 0 && !message.doubt_since) return true;
-        const ClassSettings& kind = settings_.classes[message.message_class];
-        return kind.effect == Effect::Retryable ||
-               (kind.effect == Effect::Dedup && kind.dedup_scope == DedupScope::All);
+        const ClassSettings& message_class = settings_.classes[message.message_class];
+        return message_class.effect == Effect::Retryable ||
+               (message_class.effect == Effect::Dedup && message_class.dedup_scope == DedupScope::All);
     }
-    void end(MessageId id, Time now) {
-        // at its deadline a client has no time to come again: a refusal would promise what helps nobody
+    // Gives the message its final answer.
+    void end_message(MessageId id, Time now) {
+        // At the deadline the client has no time left for a retry: a refusal would promise something useless.
         if (messages_.at(id).deadline > now && may_refuse(messages_.at(id)))
-            actions_.emplace_back(Refuse{id, come_back_in(messages_.at(id), now)});
+            actions_.emplace_back(Refuse{id, retry_after(messages_.at(id), now)});
         else
             actions_.emplace_back(Fail{id});
-        forget(id, now);
+        remove_message(id, now);
     }
-    // When a client should come again: once the outage or the backlog is likely to be over, and while there
-    // is still time to deliver.
-    Time come_back_in(const Message& message, Time now) const {
+    // When the client should retry: once the outage or the backlog is likely to be over, and while there is
+    // still time to deliver.
+    Time retry_after(const Message& message, Time now) const {
         const Destination& destination = destinations_.at(message.destination);
-        const double backlog = static_cast<double>(destination.held.size()) / drain_rate(destination);
-        const Time over = std::max(stalled(destination, now), from_seconds(backlog));
-        return std::min(over, (message.deadline - now) / 2);
+        const double backlog_s = static_cast<double>(destination.held.size()) / drain_rate(destination);
+        const Time delay = std::max(expected_outage(destination, now), from_seconds(backlog_s));
+        return std::min(delay, (message.deadline - now) / 2);
     }
-    void forget(MessageId id, Time now) {
+    // Removes a message that has ended, or that its client has abandoned. Its attempts that are out stay
+    // counted.
+    void remove_message(MessageId id, Time now) {
         const auto found = messages_.find(id);
         if (found == messages_.end()) return;
         Message& message = found->second;
         const DestinationId destination_id = message.destination;
         Destination& destination = destinations_[destination_id];
-        make_ready(id, message, false);
-        set_doubt(message, std::nullopt);
+        set_ready(id, message, false);
+        set_doubtful_endpoint(message, std::nullopt);
         expiry_queue_.erase(id), backoff_queue_.erase(id);
         by_held_count_.erase({destination.held.size(), destination_id});
         destination.held.erase(message.arrival);
@@ -152,12 +175,12 @@
                   : void(by_held_count_.insert({held, destination_id}));
         const auto key = message.key;
         if (key) {
-            std::deque<MessageId>& turn = key_queues_.at(*key).turn;
-            turn.front() == id ? turn.pop_front() : void(std::erase(turn, id));
-            drop_line(*key, now);
+            std::deque<MessageId>& waiting = key_queues_.at(*key).turn;
+            waiting.front() == id ? waiting.pop_front() : void(std::erase(waiting, id));
+            remove_key_queue_if_idle(*key, now);
         }
         messages_.erase(found);
-        if (key) line_changed(*key, now);
+        if (key) key_queue_changed(*key, now);
         reschedule(destination_id, now);
     }
 };
--- a/src/policy/scheduler.hpp
+++ b/src/policy/scheduler.hpp
@@ -1,10 +1,15 @@
-/// The pick: which message goes next and where to, what is dropped, and which connections are kept.
+/// The scheduler: which message is sent next and to which endpoint, which calls are cancelled, and which idle
+/// connections are closed.
+///
+/// pick_next() chooses the destination by its mClock tags, pick_message() one of its messages,
+/// cheapest_endpoint() the endpoint, and start_call() sends it and advances the tags.
 #pragma once
 
 #include "policy/load_shedding.hpp"
 
 namespace cometspoke::policy {
 
+/// The next message to send, and the endpoint to send it to.
 struct Pick {
     DestinationId destination = 0;
     MessageId message = 0;
@@ -14,45 +19,50 @@
 struct Scheduler : LoadShedding {
     using LoadShedding::LoadShedding;
 
-    // First the smallest R tag due; else the smallest P tag among destinations whose L tag is due.
-    std::optional<Pick> choose(Time now) {
+    // mClock: first the smallest reservation tag (R) that is due; if none is, the smallest share tag (P)
+    // among the destinations whose limit tag (L) is due.
+    std::optional<Pick> pick_next(Time now) {
         picked_by_reservation_ = settings_.floor_per_s > 0;
         if (picked_by_reservation_)
-            if (const auto pick = by_reservation(now)) return pick;
+            if (const auto pick = pick_by_reservation(now)) return pick;
         picked_by_reservation_ = false;
-        return by_share(now);
+        return pick_by_share(now);
     }
-    std::optional<Pick> by_reservation(Time now) {
+    std::optional<Pick> pick_by_reservation(Time now) {
         std::optional<Pick> best;
         Time least = kNever;
         for (const auto& [id, destination] : active_destinations_) {
             if (destination->reservation_tag > now || destination->reservation_tag >= least) continue;
-            if (!under_cap(*destination) || (ailing(*destination) && !sick_may_go(*destination))) continue;
-            if (const auto pick = head(id, *destination, now, false))
+            if (!below_slot_cap(*destination) ||
+                (has_unhealthy_endpoint(*destination) && !unhealthy_may_send(*destination)))
+                continue;
+            if (const auto pick = pick_message(id, *destination, now, false))
                 best = pick, least = destination->reservation_tag;
         }
         return best;
     }
-    // Who cannot go now is parked until something of it changes: no one is looked at twice in vain.
-    std::optional<Pick> by_share(Time now) {
+    // A destination that cannot send now is parked until something of it changes, so that none is examined
+    // twice to no effect.
+    std::optional<Pick> pick_by_share(Time now) {
         while (true) {
             Order* first = nullptr;
             for (Order* order : {&healthy_order_, &unhealthy_idle_order_, &unhealthy_busy_order_}) {
                 if (order->empty() ||
-                    (order != &healthy_order_ && !sick_order_may_go(order == &unhealthy_idle_order_)))
+                    (order != &healthy_order_ && !unhealthy_order_may_send(order == &unhealthy_idle_order_)))
                     continue;
                 if (first == nullptr || *order->begin() < *first->begin()) first = order;
             }
             if (first == nullptr) return std::nullopt;
             const DestinationId id = first->begin()->second;
             Destination& destination = destinations_.at(id);
-            if (under_cap(destination))
-                if (const auto pick = head(id, destination, now, true)) return pick;
+            if (below_slot_cap(destination))
+                if (const auto pick = pick_message(id, destination, now, true)) return pick;
             leave_order(id, destination);
             destination.parked = true;
         }
     }
-    void serve(const Pick& pick, Time now) {
+    // Starts a call with the picked message, and with others where the endpoint takes several in one call.
+    void start_call(const Pick& pick, Time now) {
         Destination& destination = destinations_[pick.destination];
         Endpoint& endpoint = endpoints_.at(pick.endpoint);
         const std::uint64_t call_id = ++call_count_;
@@ -60,195 +70,224 @@
         ++endpoint.in_flight;
         ++destination.in_flight;
         take_connection(endpoint, now);
-        endpoint.often = now - std::exchange(endpoint.used, now) < settings_.conn_idle / kReuse;
-        if (ailing(*endpoint.home)) ++unhealthy_calls_;
+        endpoint.often = now - std::exchange(endpoint.used, now) < settings_.conn_idle / kIdleReuseDivisor;
+        if (has_unhealthy_endpoint(*endpoint.home)) ++unhealthy_calls_;
         if (const double w = endpoint.weight; w > 0)
-            endpoint.turn = std::max(endpoint.turn, ++destination.turn - kMostBehind / w) + 1.0 / w;
-        send(pick.message, pick.endpoint, call_id, now);
-        fill_call(destination, pick.endpoint, call_id, now);
-        step_tags(pick.destination, destination, endpoint, now);
+            endpoint.turn = std::max(endpoint.turn, ++destination.turn - kMaxCallsBehindShare / w) + 1.0 / w;
+        send_attempt(pick.message, pick.endpoint, call_id, now);
+        fill_batch(destination, pick.endpoint, call_id, now);
+        advance_tags(pick.destination, destination, endpoint, now);
         reschedule(pick.destination, now);
     }
-    void step_tags(DestinationId id, Destination& destination, Endpoint& endpoint, Time now) {
+    // After a call was started: adds 1/l, 1/w and 1/r to the tags, and charges the budgets that apply.
+    void advance_tags(DestinationId id, Destination& destination, Endpoint& endpoint, Time now) {
         Route& route = route_of(endpoint);
-        const Time gap = gap_of(limit(route, destination));
+        const Time gap = gap_of(sender_limit(route, destination));
         route.paced_from = std::max(route.limit_tag, now - gap), route.paced_by = 1.0;
         route.limit_tag = route.paced_from + gap;
-        if (endpoint.weight == 0) spilled(destination, senders(), ailing(destination), now);
-        if (endpoint.health != Health::Well) spend_budget(endpoint, now);
+        if (endpoint.weight == 0)
+            spilled(destination, sender_count(), has_unhealthy_endpoint(destination), now);
+        if (endpoint.health != Health::Well) charge_recovery_budget(endpoint, now);
         const double w = slot_weight(destination);
         const Time tag = destination.share_tag + share_tag_offset_;
-        set_share_tag(
-            id, destination, std::max(tag + gap_of(w), now - from_seconds(kSigma / w)) - share_tag_offset_);
+        set_share_tag(id, destination,
+            std::max(tag + gap_of(w), now - from_seconds(kIdleCreditCalls / w)) - share_tag_offset_);
         if (settings_.floor_per_s <= 0) return;
         const Time step = gap_of(settings_.floor_per_s);
         destination.reservation_tag = std::max(destination.reservation_tag + step, now);
         if (!picked_by_reservation_)
-            destination.reservation_tag -= step;  // served by share: 1/r is taken off again
+            destination.reservation_tag -=
+                step;  // picked by share: the reservation is not used, so 1/r is taken off again
     }
-    void send(MessageId id, EndpointId to, std::uint64_t call_id, Time now) {
+    void send_attempt(MessageId id, EndpointId to, std::uint64_t call_id, Time now) {
         Message& message = messages_.at(id);
         attempts_.emplace(std::pair(id, message.attempts), Attempt{call_id, message.key, false});
         ++message.attempts, ++message.out;
         ++calls_.at(call_id).out;
-        if (message.key) ++key_queues_[*message.key].out, line_changed(*message.key, now);
-        changed(id, now);
-        actions_.emplace_back(Send{id, to, time_out(message, now), resend_until(message)});
+        if (message.key) ++key_queues_[*message.key].out, key_queue_changed(*message.key, now);
+        message_changed(id, now);
+        actions_.emplace_back(Send{id, to, attempt_timeout(message, now), resend_deadline(message)});
     }
-    // Where a call may carry several messages, the next ones in order travel along.
-    void fill_call(Destination& destination, EndpointId to, std::uint64_t call_id, Time now) {
-        const std::size_t most = settings_.kinds[endpoints_.at(to).kind].per_call;
-        if (most < 2 || endpoints_.at(to).health == Health::Sick) return;
-        std::size_t room = most - std::min(most, calls_.at(call_id).out);
-        std::vector<MessageId> along;
+    // Where a call may carry several messages, adds the next ones in order. A failing endpoint gets one at a
+    // time.
+    void fill_batch(Destination& destination, EndpointId to, std::uint64_t call_id, Time now) {
+        const std::size_t batch_size = settings_.kinds[endpoints_.at(to).kind].per_call;
+        if (batch_size < 2 || endpoints_.at(to).health == Health::Sick) return;
+        std::size_t free = batch_size - std::min(batch_size, calls_.at(call_id).out);
+        std::vector<MessageId> batch;
         destination.ready.each([&](MessageId id) {
             const Message& message = messages_.at(id);
-            if (along.size() < room && ready(id, message, now) && may_go(message, to)) along.push_back(id);
-            return along.size() < room;
+            if (batch.size() < free && can_send(id, message, now) && is_allowed_at(message, to))
+                batch.push_back(id);
+            return batch.size() < free;
         });
-        for (const MessageId id : along)
-            if (ready(id, messages_.at(id), now)) send(id, to, call_id, now);
+        for (const MessageId id : batch)
+            if (can_send(id, messages_.at(id), now)) send_attempt(id, to, call_id, now);
     }
     // The first message in arrival order that may be sent, with an endpoint for it. While the backlog is
-    // longer than the aim of a held message, the one goes that loses most worth by waiting the backlog out.
-    std::optional<Pick> head(DestinationId id, const Destination& destination, Time now, bool limited) {
-        const std::vector<EndpointId> open_now = open_endpoints(destination, now, limited);
-        if (open_now.empty()) return std::nullopt;
-        const Time backlog = backlog_of(destination);
+    // longer than the aim of a held message, it is the message that loses the most value by waiting until the
+    // backlog is gone. `limited`: whether the limit tag has to be due, which it need not for a reservation.
+    std::optional<Pick> pick_message(
+        DestinationId id, const Destination& destination, Time now, bool limited) {
+        const std::vector<EndpointId> available = available_endpoints(destination, now, limited);
+        if (available.empty()) return std::nullopt;
+        const Time backlog = backlog_delay(destination);
         std::optional<Pick> best;
-        double most = 0.0;
-        std::set<std::size_t> stuck;  // classes of which none may go
-        const auto look = [&](MessageId message_id) {
+        double highest_loss = 0.0;
+        std::set<std::size_t>
+            blocked;  // fragile classes: no available endpoint may have any of their messages
+        const auto consider = [&](MessageId message_id) {
             const Message& message = messages_.at(message_id);
-            if (stuck.contains(message.message_class) || !ready(message_id, message, now)) return true;
+            if (blocked.contains(message.message_class) || !can_send(message_id, message, now)) return true;
             const double loss =
-                backlog == Time(0) ? 0.0 : worth_of(message, now) - worth_of(message, now + backlog);
-            if (best && loss <= most) return true;
-            if (const auto endpoint = endpoint_for(open_now, message, now))
-                best = Pick{id, message_id, *endpoint}, most = loss;
+                backlog == Time(0) ? 0.0 : value_at(message, now) - value_at(message, now + backlog);
+            if (best && loss <= highest_loss) return true;
+            if (const auto endpoint = cheapest_endpoint(available, message, now))
+                best = Pick{id, message_id, *endpoint}, highest_loss = loss;
             else if (settings_.classes[message.message_class].effect == Effect::Fragile)
-                stuck.insert(message.message_class);
+                blocked.insert(message.message_class);
             return !best || backlog != Time(0);
         };
-        if (backlog == Time(0) || destination.ready.size() <= kExactReady)
-            destination.ready.each(look);
-        else  // many wait: those at the front, and of each class those round its aim, where most is lost
+        if (backlog == Time(0) || destination.ready.size() <= kMaxReadyForExactPick)
+            destination.ready.each(consider);
+        else  // of each class only those at the front and those around its aim, where the loss is highest
             destination.ready.some(
-                kLookAround, [&](std::size_t kind) { return now - settings_.classes[kind].aim; }, look);
+                kPickScanMessages,
+                [&](std::size_t message_class) { return now - settings_.classes[message_class].aim; },
+                consider);
         return best;
     }
-    // How long the held messages take to go out, where that is longer than the aim of one of them; else 0.
-    Time backlog_of(const Destination& destination) const {
-        if (destination.served_rate <= 0) return Time(0);  // nothing is known yet: the ordinary path
+    // How long the destination needs for its held messages, if that is longer than the aim of one of them;
+    // else 0.
+    Time backlog_delay(const Destination& destination) const {
+        if (destination.served_rate <= 0) return Time(0);  // no rate is known yet: arrival order
         Time shortest = kNever;
-        for (const auto& [kind, count] : destination.held_of)
-            if (count > 0) shortest = std::min(shortest, settings_.classes[kind].aim);
+        for (const auto& [message_class, count] : destination.held_of)
+            if (count > 0) shortest = std::min(shortest, settings_.classes[message_class].aim);
         const double held = static_cast<double>(destination.held.size()) - destination.in_flight;
         const Time backlog = from_seconds(std::max(0.0, held) / drain_rate(destination));
         return backlog > shortest ? backlog : Time(0);
     }
-    // Not out, its pause over, its key's turn, and inside its window if it may have run.
-    bool ready(MessageId id, const Message& message, Time now) const {
+    // Whether the message may have an attempt now: none is out, its backoff is over, attempts are left, its
+    // ordering key allows it, and if it may have run its window is still open.
+    bool can_send(MessageId id, const Message& message, Time now) const {
         if (message.out > 0 || message.not_before > now || message.deadline <= now) return false;
         if (message.attempts >= class_settings(message).max_attempts) return false;
-        if (now > resend_until(message)) return false;
-        return !message.key || turn_at(id, *message.key) <= now;
+        if (now > resend_deadline(message)) return false;
+        return !message.key || key_turn_at(id, *message.key) <= now;
     }
-    std::vector<EndpointId> open_endpoints(const Destination& destination, Time now, bool limited) {
-        std::vector<EndpointId> all;
+    // The endpoints that may have a call now; `limited`: also by their rate limit.
+    std::vector<EndpointId> available_endpoints(const Destination& destination, Time now, bool limited) {
+        std::vector<EndpointId> available;
         for (const EndpointId id : destination.endpoints)
-            if (open(id, now) && !(limited && lacks_limit(endpoints_.at(id), now))) all.push_back(id);
-        return all;
+            if (is_available(id, now) && !(limited && is_rate_limited(endpoints_.at(id), now)))
+                available.push_back(id);
+        return available;
+    }
+    bool is_rate_limited(Endpoint& endpoint, Time now) {
+        return route_of(endpoint).limit_tag > now || spills_early(endpoint, now);
     }
-    bool lacks_limit(Endpoint& e, Time now) { return route_of(e).limit_tag > now || spills_early(e, now); }
-    std::optional<EndpointId> endpoint_for(
-        const std::vector<EndpointId>& open_now, const Message& message, Time now) const {
+    std::optional<EndpointId> cheapest_endpoint(
+        const std::vector<EndpointId>& available, const Message& message, Time now) const {
         std::optional<EndpointId> best;
         std::pair<double, std::uint64_t> least;
-        for (const EndpointId id : open_now) {
-            if (!may_go(message, id)) continue;
-            const std::pair cost(cost_of(endpoints_.at(id), now), rank_of(id));
+        for (const EndpointId id : available) {
+            if (!is_allowed_at(message, id)) continue;
+            const std::pair cost(endpoint_cost(endpoints_.at(id), now), tie_break_rank(id));
             if (!best || cost < least) best = id, least = cost;
         }
         return best;
     }
-    // An endpoint with an idle connection first, then the least busy; the own zone before another; each in
-    // turn by its part of the calls.
-    double cost_of(const Endpoint& endpoint, Time now) const {
+    // The lower, the better, in calls in flight: the least busy endpoint first, with additions for one
+    // without an idle connection, in another zone, outside this sender's subset, ahead of its part of the
+    // calls, or unhealthy.
+    double endpoint_cost(const Endpoint& endpoint, Time now) const {
         double cost = endpoint.in_flight;
         if (endpoint.home->spread)
-            cost += endpoint.weight > 0 ? kAhead * std::max(-kMostBehind, ahead_of(endpoint)) : kNotNamed;
-        if (!has_idle(endpoint, now)) cost += kNewConnection;
-        if (settings_.zone && endpoint.zone != *settings_.zone) cost += kOtherZone;
+            cost += endpoint.weight > 0
+                        ? kAheadOfShareCost * std::max(-kMaxCallsBehindShare, calls_ahead_of_share(endpoint))
+                        : kOutsideSubsetCost;
+        if (!has_idle_connection(endpoint, now)) cost += kNewConnectionCost;
+        if (settings_.zone && endpoint.zone != *settings_.zone) cost += kOtherZoneCost;
         if (endpoint.health != Health::Well) cost += 1.0;
         return cost;
     }
-    // In calls, of its part of those to its destination.
-    static double ahead_of(const Endpoint& one) { return (one.turn - one.home->turn) * one.weight; }
-    // Listed as ready, no told wait, and its fall-back budget not spent.
-    bool open(EndpointId id, Time now) {
+    // By how many calls the endpoint is ahead of its part of the calls to its destination; below 0: behind.
+    static double calls_ahead_of_share(const Endpoint& endpoint) {
+        return (endpoint.turn - endpoint.home->turn) * endpoint.weight;
+    }
+    // Listed as ready, without a told wait, and with recovery budget left if it is unhealthy.
+    bool is_available(EndpointId id, Time now) {
         Endpoint& endpoint = endpoints_.at(id);
         if (endpoint.condition != Condition::Ready || route_of(endpoint).wait_until > now) return false;
         return endpoint.health == Health::Well || endpoint.cold_tag <= now;
     }
-    // Fragile messages keep away from endpoints that fail; dedup resends keep to the scope of the first.
-    bool may_go(const Message& message, EndpointId to) const {
-        const ClassSettings& kind = settings_.classes[message.message_class];
+    // Whether the message may go to the endpoint at all: its route must allow it, a fragile message keeps
+    // away from endpoints that fail, and a repeat of a dedup message stays within the scope in which the
+    // endpoints drop repeats.
+    bool is_allowed_at(const Message& message, EndpointId to) const {
+        const ClassSettings& message_class = settings_.classes[message.message_class];
         const Endpoint& endpoint = endpoints_.at(to);
         if (message.route - 1 < route_endpoints_.size() && !route_endpoints_[message.route - 1].contains(to))
             return false;
-        if (kind.effect == Effect::Fragile &&
-            (endpoint.failing > kFragileBar || endpoint.health == Health::Sick))
+        if (message_class.effect == Effect::Fragile &&
+            (endpoint.failing > kMaxFragileFailureShare || endpoint.health == Health::Sick))
             return false;
-        if (kind.effect != Effect::Dedup || !message.doubt_since || kind.dedup_scope == DedupScope::All)
+        if (message_class.effect != Effect::Dedup || !message.doubt_since ||
+            message_class.dedup_scope == DedupScope::All)
             return true;
-        if (kind.dedup_scope == DedupScope::Endpoint) return message.doubt_at == to;
+        if (message_class.dedup_scope == DedupScope::Endpoint) return message.doubt_at == to;
         const auto first = message.doubt_at ? endpoints_.find(*message.doubt_at) : endpoints_.end();
         return first != endpoints_.end() && first->second.zone == endpoint.zone;
     }
-    // Calls that can be dropped later, and those that may not be repeated, are waited for to the end.
-    Time time_out(const Message& message, Time now) const {
+    // Calls that can be cancelled later, and those of fragile messages, may take all the time that is left.
+    Time attempt_timeout(const Message& message, Time now) const {
         const Time left = message.deadline - now;
         if (settings_.cancel || class_settings(message).effect == Effect::Fragile) return left;
-        return std::min(left, patience(destinations_.at(message.destination)));
+        return std::min(left, call_timeout(destinations_.at(message.destination)));
     }
     // A long call stays out while nothing better can be done: it may still be answered, and a repeat costs
-    // the destination its work again. It is dropped where its endpoint answered calls sent later, or where
-    // the sick hold slots that others need; where nearly all slots are taken, also if it may not be repeated.
-    void drop_stuck(Time now) {
+    // the destination its work again. It is cancelled if its endpoint has answered calls that were sent
+    // later, or if unhealthy destinations hold slots that others need; when nearly all slots are taken, even
+    // if the message may not be repeated.
+    void cancel_stuck_calls(Time now) {
         if (!settings_.cancel) return;
         const auto slots = static_cast<double>(settings_.slots), out = static_cast<double>(calls_.size());
-        const bool jammed = out > kScarce * slots;
-        const bool scarce = jammed || unhealthy_calls_ + 1 > kSickShare * slots;
-        for (auto& [name, attempt] : attempts_) {
+        const bool nearly_full = out > kScarceSlotShare * slots;
+        const bool scarce = nearly_full || unhealthy_calls_ + 1 > kMaxUnhealthySlotShare * slots;
+        for (auto& [attempt_id, attempt] : attempts_) {
             const Call& call = calls_.at(attempt.call);
-            const auto found = messages_.find(name.first);
+            const auto found = messages_.find(attempt_id.first);
             if (attempt.dropped || found == messages_.end()) continue;
             const Endpoint& endpoint = *call.at;
             const Destination& destination = *endpoint.home;
-            const bool passed = jammed && call.overtaken;
-            const Time longest = patience(destination, passed);
-            if (now - call.sent < longest || !(jammed || may_repeat(found->second, call, now))) continue;
-            const bool lost = endpoint.last_good > call.sent + longest;
-            if (!passed && !lost && !(scarce && endpoint.health != Health::Well)) continue;
+            const bool overtaken = nearly_full && call.overtaken;
+            const Time timeout = call_timeout(destination, overtaken);
+            if (now - call.sent < timeout || !(nearly_full || can_repeat(found->second, call, now))) continue;
+            const bool answered_others = endpoint.last_good > call.sent + timeout;
+            if (!overtaken && !answered_others && !(scarce && endpoint.health != Health::Well)) continue;
             attempt.dropped = true;
-            actions_.emplace_back(CancelAttempt{name.first, name.second});
+            actions_.emplace_back(CancelAttempt{attempt_id.first, attempt_id.second});
         }
     }
-    bool may_repeat(const Message& message, const Call& call, Time now) const {
-        const ClassSettings& kind = settings_.classes[message.message_class];
-        if (message.attempts >= kind.max_attempts || kind.effect == Effect::Fragile) return false;
-        if (kind.effect == Effect::Retryable) return true;
-        return now + kDropTrip < std::min(call.sent, message.doubt_since.value_or(call.sent)) + kind.window;
+    // Whether the message could have another attempt if this call were cancelled now.
+    bool can_repeat(const Message& message, const Call& call, Time now) const {
+        const ClassSettings& message_class = settings_.classes[message.message_class];
+        if (message.attempts >= message_class.max_attempts || message_class.effect == Effect::Fragile)
+            return false;
+        if (message_class.effect == Effect::Retryable) return true;
+        return now + kCancelAndResendTime <
+               std::min(call.sent, message.doubt_since.value_or(call.sent)) + message_class.window;
     }
-    // Idle connections count against an endpoint's allowance, and those of many senders fill it: they are
-    // closed where they would seldom be used or connects were refused. Costs a handshake where traffic is
-    // thin.
-    void close_idle(Time now) {
+    // Idle connections count against the number of connections that an endpoint accepts, and those of many
+    // senders use it up: they are closed where they would seldom be reused, or where connects were refused
+    // lately. With little traffic that costs a handshake for each call.
+    void close_idle_connections(Time now) {
         for (const EndpointId id : std::exchange(freed_endpoints_, {})) {
             Endpoint& endpoint = endpoints_.at(id);
             const bool used = endpoint.often || endpoint.weight > 0;
-            if (endpoint.idle.empty() || (used && now - connect_refused_at_[endpoint.kind] > kRecent))
+            if (endpoint.idle.empty() ||
+                (used && now - connect_refused_at_[endpoint.kind] > kConnectRefusedMemory))
                 continue;
             endpoint.idle.clear();
             actions_.emplace_back(CloseIdle{id});
--- a/src/policy/state.hpp
+++ b/src/policy/state.hpp
@@ -1,5 +1,7 @@
-/// What the decisions were tuned to (times in microseconds, shares and blends without a unit), and where they
-/// keep what they know.
+/// The tuning constants of the decision module and the state that it keeps between decisions.
+///
+/// Durations of type Time are in microseconds, names ending in _s are in seconds; shares and smoothing
+/// factors have no unit. The records that the state consists of are in records/records.hpp.
 #pragma once
 
 #include <algorithm>
@@ -21,210 +23,295 @@
 
 namespace cometspoke::policy {
 
-constexpr double kSigma = 1.0;                           // idle credit in sends: the design's default
-constexpr double kLeastQuick = 0.02, kMostQuick = 20.0;  // bounds of what slot time makes of a weight
-constexpr double kMaxDestinationSlotShare =
-    0.75;                           // calls to one destination stay under this share of the slots
-constexpr double kSickShare = 0.5;  // and at most this while it fails or is slow; also all sick ones together
-
-// EndpointHealth l: the own part is between an even part and the whole. Steps are powers of n, the number of
-// senders: the more they are, the rarer is each one's news and the further off its right part may be.
-constexpr double kFall = -1.0 / 3.0;  // the first refusal: a third off among three senders, 3/4 among sixty
-constexpr double kRise = 1.0 / 24.0;  // a success: eight for the first refusal after it
-constexpr double kRiseRoom = 0.3;     // more with the told share of the limit that is left
-constexpr double kLeastGain = 0.5;    // half an even part is always there while others keep to theirs
-
-// In large fleets a sender hears of a partner too seldom by itself: what answers tell of limits is passed on.
-constexpr std::size_t kNotesFrom = 16;    // senders
-constexpr Time kLongestNews{10'000'000};  // no note puts a turn off for longer
-
-constexpr double kUsualBlend = 0.05;    // the usual time to answer moves slowly, so slowness shows against it
-constexpr double kUsualClip = 3.0;      // one long call counts as at most so many usual ones
-constexpr double kSilentTimes = 5.0;    // summed waiting without a success, in usual times: exp(-5) by chance
-constexpr Time kLeastUsual{50'000};     // floor of the usual time, against a sweep's coarseness
-constexpr Time kFirstUsual{500'000};    // before any answer is known
-constexpr double kRateBlend = 0.1;      // the own rate of successes: about the last ten
-constexpr double kRateClip = 50.0;      // answers that come together are no rate of thousands a second
-constexpr double kFailBlend = 0.3;      // two failures in a row from clean make 0.51
-constexpr double kNewsAge_s = 4.0;      // outcomes older than this tell little of now: one failure trips
-constexpr Time kLongWait{2'500'000};    // no limit makes wait so long: shut, and it opens then
-constexpr double kRoomLeft = 0.9;       // refused with so much of the limit left: shut too
-constexpr Time kSlowConnect{500'000};   // a connect that fails later found nobody: not an allowance used up
-constexpr double kFailTrip = 0.5;       // most calls failing: an outage
-constexpr double kSpoiltBlend = 0.1;    // seven spoilt answers in a row trip, one in ten among good never
-constexpr double kFragileBar = 0.2;     // above this share of failures fragile messages wait
-constexpr int kShutRefusals = 3;        // refusals in a row with no success between: shut, not above a limit
-constexpr double kBudgetUse = 0.9;      // part of the fall-back budget used; limits lie below the capacity
-constexpr double kLeastCapacity = 2.0;  // calls a second that any destination is taken to stand
-constexpr double kArrivalRateMemory_s = 20.0,
-                 kLeastKnowing = 0.05;    // own messages a second; share that knows
-constexpr double kLeastTrials = 3.0;      // all senders together try so often in a fall-back window, at least
-constexpr Time kTrialGap{250'000};        // sends to an endpoint that is sick are at least so far apart,
-constexpr Time kLeastGap{10'000};         // and to one that answers again so far at most, and at least so
-constexpr double kTimeOutTimes = 8.0;     // time-out in usual times, where a repeat is allowed
-constexpr Time kLeastTimeOut{1'000'000};  // or, where it is shorter,
-constexpr double kLeastTimes = 12.0;      // so many usual times of all destinations
-constexpr double kTrialTimes = 2.5;       // the same for the gap between trials
-constexpr Time kLeastPaced{50'000};
-constexpr Time kLeastOvertaken{200'000};  // less where later calls to the endpoint were answered first
-constexpr double kScarce = 0.75;          // above this share of the slots taken, stuck calls are in the way
-constexpr Time kDropTrip{500'000};        // a drop and the repeat after it need this much of a dedup window
-constexpr Time kRetryGap{50'000};  // pause of a message after an attempt that failed; doubles with each
-constexpr std::uint32_t kPauseDoublings = 4;
-constexpr Time kDedupMargin{100'000};     // a resend leaves this much before its window closes
-constexpr Time kSweep{100'000};           // silence is looked for this often while calls are out
-constexpr double kNewConnection = 0.7;    // choosing: a new connection weighs as so many calls in flight
-constexpr double kOtherZone = 0.4;        // and another zone as so many
-constexpr double kAhead = 0.5;            // and each call that it is ahead of its part of the calls
-constexpr double kMostBehind = 2.0;       // or less where it is behind: so many at most
-constexpr double kNotNamed = 2.0;         // and one that this sender was not given
-constexpr Time kRecent{60'000'000};       // after a failed connect: allowances of connections seldom change
-constexpr int kReuse = 3;                 // an idle connection is kept if reused within this part of its time
-constexpr double kRoomKept = 0.1;         // share of most_held kept free for worth
-constexpr double kLeastDrain = 0.5;       // messages a second that any destination is expected to take
-constexpr Time kLongStall{60'000'000};    // a stall longer than any deadline is as good as this
-constexpr Time kQuotaBurst{1'000'000};    // a tenant's quota may come this far at once
-constexpr Time kTidyGap{1'000'000};       // what has gone is looked for at most so often
-constexpr std::size_t kExactHeld = 2000;  // with more held in all, who goes for room is found among
-constexpr std::size_t kLookAt = 8;        // so many destinations with most held, and as many in turn,
-constexpr std::size_t kLookEnds = 16;     // and so many messages at each end of theirs
-constexpr std::size_t kExactReady = 256;  // with more ready at a destination, who loses most by waiting is
-constexpr std::size_t kLookAround = 64;   // found among so many at the front, and round the aim
-constexpr std::size_t kMostEnds = 500;    // messages ended in one decision: others wait for it
-constexpr Time kStateAge{60'000'000};     // what was learned of a destination tells nothing after this
-constexpr Time kWatchGap{500'000};        // first pause after a failed list call; doubles
-constexpr int kWatchDoublings = 4;
+// ---- scheduling (mClock) ----
 
+// Sigma: calls that a destination may catch up on after it was idle; the default of the mClock design.
+constexpr double kIdleCreditCalls = 1.0;
+// Bounds of the factor by which the latency of a destination changes its weight (State::slot_weight).
+constexpr double kMinSpeedFactor = 0.02, kMaxSpeedFactor = 20.0;
+// Calls to one destination stay under this share of the slots.
+constexpr double kMaxDestinationSlotShare = 0.75;
+// The same for a destination that fails or is slow, and also for all such destinations together.
+constexpr double kMaxUnhealthySlotShare = 0.5;
+
+// ---- rate limits ----
+
+// This sender's part of a shared rate limit (l) is learned from refusals and successes. It lies between an
+// even part (the limit divided by the number of senders) and the whole limit. The steps are powers of n, the
+// number of senders: the more senders there are, the more rarely each gets an answer and the further off its
+// part may be.
+constexpr double kRefusalExponent =
+    -1.0 / 3.0;  // the first refusal: minus 1/3 with 3 senders, minus 3/4 with 60
+constexpr double kSuccessExponent = 1.0 / 24.0;  // eight successes make up for the first refusal
+// Added, times the reported share of the limit that is left.
+constexpr double kSuccessExponentPerShareLeft = 0.3;
+constexpr double kMinLearnedShare = 0.5;  // half an even part is always free while the others keep to theirs
+
+// In a large fleet a sender calls an endpoint too rarely to know its limit from its own answers alone:
+// senders tell one another of the limits that answers report.
+constexpr std::size_t kGossipMinSenders = 16;
+constexpr Time kMaxGossipDelay{10'000'000};  // a peer's report delays the next call by at most this
+
+// ---- health of endpoints ----
+
+// The typical latency changes slowly, so that slowness shows against it.
+constexpr double kLatencySmoothing = 0.05;
+constexpr double kLatencyClipFactor = 3.0;  // one long call counts as at most this many typical latencies
+// An endpoint is unhealthy when the waiting time of its calls, summed since its last success, is above this
+// many typical latencies; by chance alone that has a probability of exp(-5).
+constexpr double kSilenceLatencies = 5.0;
+// Lower bound of the typical latency: silence is checked only every kSilenceCheckInterval.
+constexpr Time kMinTypicalLatency{50'000};
+constexpr Time kInitialTypicalLatency{500'000};  // before any answer is known
+constexpr double kServedRateSmoothing = 0.1;     // averages this sender's successes over about the last ten
+// Upper bound of one sample of that rate: answers that arrive together do not mean thousands a second.
+constexpr double kMaxServedRateSample = 50.0;
+constexpr double kFailureSmoothing = 0.3;  // two failures in a row after none give a failure share of 0.51
+// Older outcomes say little about the present: after about this time without one, a single failure means an
+// outage.
+constexpr double kFailureMemory_s = 4.0;
+// A told wait above this is no rate limit: the endpoint has an outage until the wait ends.
+constexpr Time kOutageRetryAfter{2'500'000};
+constexpr double kOutageShareLeft = 0.9;  // refused although so much of the limit is left: an outage too
+// A connect that fails later than this reached nobody. One that fails sooner may have met a limit of
+// connections.
+constexpr Time kSlowConnectFailure{500'000};
+constexpr double kOutageFailureShare = 0.5;  // most calls fail: an outage
+// Seven unreadable answers in a row make an outage; one in ten among good ones never does.
+constexpr double kUnreadableSmoothing = 0.1;
+constexpr double kMaxFragileFailureShare = 0.2;  // fragile messages wait while more calls than this fail
+constexpr int kOutageRefusals = 3;  // refusals in a row without a success: an outage, not a rate limit
+
+// ---- recovery of endpoints ----
+
+// The part of the recovery budget that is used. (Known limits lie below the capacity.)
+constexpr double kRecoveryBudgetUse = 0.9;
+constexpr double kMinCapacityPerS = 2.0;  // calls per second that any destination is assumed to sustain
+// Time constant of the average arrival rate, and the least share of the senders that is assumed to know of an
+// outage.
+constexpr double kArrivalRateMemory_s = 20.0, kMinAwareShare = 0.05;
+constexpr double kMinTrialsPerWindow = 3.0;  // calls of all senders together in a recovery window, at least
+// Least time between calls to an unhealthy endpoint. Between calls to one that answers again it is the
+// longest time, or `longest_gap` of EndpointHealth::charge_recovery_budget() where that is longer.
+constexpr Time kUnhealthyTrialGap{250'000};
+constexpr Time kMinRecoveryGap{10'000};  // least time between calls to an endpoint that answers again
+
+// ---- timeouts, retries and cancelled calls ----
+
+constexpr double kCallTimeoutLatencies = 8.0;      // timeout in typical latencies, where a repeat is allowed;
+constexpr Time kMinCallTimeout{1'000'000};         // at least this or, where it is shorter,
+constexpr double kMinCallTimeoutLatencies = 12.0;  // so many typical latencies of all destinations
+constexpr double kTrialGapLatencies = 2.5;         // kUnhealthyTrialGap is shortened in the same way
+constexpr Time kMinScaledSpan{50'000};             // no span is shortened below this
+// In place of kMinCallTimeout where later calls were answered first.
+constexpr Time kMinOvertakenTimeout{200'000};
+// With more of the slots taken, stuck calls keep others from a slot.
+constexpr double kScarceSlotShare = 0.75;
+// Part of a dedup window that a cancelled call and its repeat need.
+constexpr Time kCancelAndResendTime{500'000};
+constexpr Time kFirstBackoff{50'000};  // pause of a message after a failed attempt; doubles with each
+constexpr std::uint32_t kMaxBackoffDoublings = 4;
+constexpr Time kDedupWindowMargin{100'000};  // a repeat is sent at least this long before its window closes
+constexpr Time kSilenceCheckInterval{100'000};  // while calls are out
+
+// ---- choice of an endpoint: costs in calls in flight ----
+
+constexpr double kNewConnectionCost = 0.7;
+constexpr double kOtherZoneCost = 0.4;
+// For each call that the endpoint is ahead of its part of the calls.
+constexpr double kAheadOfShareCost = 0.5;
+// An endpoint behind its part costs less, for at most this many calls.
+constexpr double kMaxCallsBehindShare = 2.0;
+constexpr double kOutsideSubsetCost = 2.0;  // for an endpoint outside this sender's subset
+
+// ---- connections ----
+
+// Idle connections are closed for so long after a refused connect: limits of connections seldom change.
+constexpr Time kConnectRefusedMemory{60'000'000};
+// An idle connection is kept if it is reused within conn_idle divided by this.
+constexpr int kIdleReuseDivisor = 3;
+
+// ---- load shedding ----
+
+// Share of Settings::most_held kept free for messages of more value.
+constexpr double kFreeCapacityShare = 0.1;
+constexpr double kMinDrainRate = 0.5;  // messages per second that any destination is expected to take
+constexpr Time kMaxExpectedOutage{60'000'000};  // beyond any deadline a longer outage makes no difference
+constexpr Time kQuotaBurst{1'000'000};          // a tenant may use its quota this far ahead
+constexpr Time kCleanupInterval{1'000'000};     // least time between two removals of unreferenced state
+// With more messages held, the message to shed is chosen from a sample.
+constexpr std::size_t kMaxHeldForExactShedding = 2000;
+// The sample takes this many destinations with the longest queues, and as many others in turn,
+constexpr std::size_t kShedScanDestinations = 8;
+constexpr std::size_t kShedScanPerQueueEnd = 16;  // this many messages at either end of each
+// With more messages ready at a destination, the one that loses the most value by waiting is chosen from a
+// sample.
+constexpr std::size_t kMaxReadyForExactPick = 256;
+// The sample takes of each class this many messages at the front, and as many on either side of its aim.
+constexpr std::size_t kPickScanMessages = 64;
+// Messages ended in one decision, since other messages wait until it is made; the rest end in the next
+// decisions.
+constexpr std::size_t kMaxEndsPerDecision = 500;
+// What was learned about a destination is out of date after this.
+constexpr Time kDestinationStateLifetime{60'000'000};
+
+// ---- list of discovery ----
+
+constexpr Time kFirstWatchBackoff{500'000};  // pause after a failed list call; doubles with each
+constexpr int kMaxWatchBackoffDoublings = 4;
+
+/// All that one sender knows between decisions. Not thread-safe; Sender owns it.
 struct State {
     State(Settings settings, std::uint64_t seed)
         : settings_(std::move(settings)), random_(seed), tie_break_seed_(seed) {
         quota_tags_.resize(settings_.tenants.size(), kLongAgo);
         connect_refused_at_.resize(settings_.kinds.size(), kLongAgo);
         if (settings_.must_subscribe) next_watch_at_ = kLongAgo;
-        const std::size_t most = std::min<std::size_t>(settings_.most_held, 1u << 20);
-        messages_.reserve(most), expiry_queue_.reserve(most),
-            endpoints_.reserve(1u << 16);  // none grows in a turn
+        const std::size_t capacity = std::min<std::size_t>(settings_.most_held, 1u << 20);
+        messages_.reserve(capacity), expiry_queue_.reserve(capacity),
+            endpoints_.reserve(1u << 16);  // so that no decision pays for a rehash
     }
 
+    // Whether the endpoint has a rate limit, waits and outages of its own instead of its destination's.
     bool has_own_route(const Endpoint& endpoint) const { return settings_.kinds[endpoint.kind].routes_apart; }
-    DestinationId limit_key(const Endpoint& one) const {
-        return has_own_route(one) ? static_cast<DestinationId>(one.known_as) : one.destination;
+    // The key of the endpoint's rate limit in reports between senders: the same at all of them.
+    DestinationId limit_key(const Endpoint& endpoint) const {
+        return has_own_route(endpoint) ? static_cast<DestinationId>(endpoint.known_as) : endpoint.destination;
     }
     Route& route_of(Endpoint& endpoint) {
         return has_own_route(endpoint) ? endpoint.own : endpoint.home->shared;
     }
-    // l: an even part of the limit times what was learned. Without a known limit it is unbounded (0) until
-    // the first refusal, and what the destination is seen to take stands for it.
-    double limit(const Route& route, const Destination& destination) const {
+    // This sender's rate limit in calls per second (l): an even part of the shared limit times the learned
+    // factor. Without a known limit it is unbounded (0) until the first refusal; from then on the rate at
+    // which the destination is seen to answer takes the place of the limit. Where an answer told how much of
+    // the limit is left, fair_share() bounds the learned factor.
+    double sender_limit(const Route& route, const Destination& destination) const {
         if (route.heard > 0 && route.left >= 0) {
-            const double told = lockgw::rate_limits::fair_share(
-                route.left, destination.held.size(), destination.in_flight, tells());
+            const double fair = lockgw::rate_limits::fair_share(
+                route.left, destination.held.size(), destination.in_flight, gossips_limits());
             const double learned =
-                route.gain > 0 ? std::max(lockgw::rate_limits::kMinShare, route.gain) : senders();
-            return route.heard / sharers(route) * std::min(learned, told);
+                route.gain > 0 ? std::max(lockgw::rate_limits::kMinShare, route.gain) : sender_count();
+            return route.heard / senders_sharing(route) * std::min(learned, fair);
         }
         if (route.gain == 0.0) return route.known;
-        return capacity(route, destination) / sharers(route) * route.gain;
+        return estimated_capacity(route, destination) / senders_sharing(route) * route.gain;
     }
-    double capacity(const Route& route, const Destination& destination) const {
-        return route.known > 0 ? route.known : std::max(kLeastCapacity, destination.served_rate * senders());
+    // Calls per second from all senders that the destination takes: its known limit, else what it is seen to
+    // answer.
+    double estimated_capacity(const Route& route, const Destination& destination) const {
+        return route.known > 0 ? route.known
+                               : std::max(kMinCapacityPerS, destination.served_rate * sender_count());
     }
-    bool tells() const { return settings_.notes && settings_.n_instances >= kNotesFrom; }
-    void retag(Route& route, const Destination& destination) const {
-        route.limit_tag = route.paced_from + from_seconds(route.paced_by / limit(route, destination));
+    bool gossips_limits() const { return settings_.notes && settings_.n_instances >= kGossipMinSenders; }
+    // Computes the limit tag (L) anew from the last step of it, after the limit has changed.
+    void update_limit_tag(Route& route, const Destination& destination) const {
+        route.limit_tag = route.paced_from + from_seconds(route.paced_by / sender_limit(route, destination));
     }
-    // Among equals each sender goes by an order of its own, lest all prefer the same one.
-    std::uint64_t rank_of(EndpointId id) const {
+    // Order among endpoints of equal cost. It differs from sender to sender, so that not all prefer the same
+    // endpoint.
+    std::uint64_t tie_break_rank(EndpointId id) const {
         return tie_break_seed_ == 0 ? id : lockgw::mixed(tie_break_seed_ ^ lockgw::mixed(id));
     }
-    double sharers(const Route& route) const { return route.sharers > 0 ? route.sharers : senders(); }
-    double senders() const { return static_cast<double>(settings_.n_instances); }
-    double usual(const Destination& destination) const {
+    double senders_sharing(const Route& route) const {
+        return route.sharers > 0 ? route.sharers : sender_count();
+    }
+    double sender_count() const { return static_cast<double>(settings_.n_instances); }
+    double typical_latency_s(const Destination& destination) const {
         const double known = destination.usual > 0 ? destination.usual : overall_latency_s_;
-        return std::max(known > 0 ? known : seconds(kFirstUsual), seconds(kLeastUsual));
+        return std::max(known > 0 ? known : seconds(kInitialTypicalLatency), seconds(kMinTypicalLatency));
     }
-    // w by what a call brings for the time of its slot, and by that time: the slow must not hold up the
-    // quick.
-    double slot_weight(const Destination& one) const {
-        const double quick = overall_latency_s_ > 0 ? overall_latency_s_ / usual(one) : 1.0;
-        return one.weight * std::clamp(quick * quick, kLeastQuick, kMostQuick);
+    // The weight (w) by what a call delivers per slot time, and again by slot time (hence the square): calls
+    // to slow destinations must not hold up those to quick ones.
+    double slot_weight(const Destination& destination) const {
+        const double speed =
+            overall_latency_s_ > 0 ? overall_latency_s_ / typical_latency_s(destination) : 1.0;
+        return destination.weight * std::clamp(speed * speed, kMinSpeedFactor, kMaxSpeedFactor);
     }
-    // A fixed span is meant for answers in a tenth of a second or more; where all answer sooner it shrinks.
-    Time paced(Time span, double times) const {
+    // `span`, or `latencies` typical latencies where that is shorter: fixed spans are meant for answers that
+    // take a tenth of a second or more.
+    Time scaled_to_latency(Time span, double latencies) const {
         if (overall_latency_s_ <= 0) return span;
-        return std::min(span, std::max(kLeastPaced, from_seconds(times * overall_latency_s_)));
+        return std::min(span, std::max(kMinScaledSpan, from_seconds(latencies * overall_latency_s_)));
     }
-    // How long a call is waited for; less where later ones to its endpoint were answered.
-    Time patience(const Destination& destination, bool passed = false) const {
-        const Time least = passed ? kLeastOvertaken : paced(kLeastTimeOut, kLeastTimes);
-        return std::max(from_seconds(kTimeOutTimes * usual(destination)), least);
+    // How long to wait for an answer; less for a call that is overtaken (a later one to its endpoint was
+    // answered).
+    Time call_timeout(const Destination& destination, bool overtaken = false) const {
+        const Time least =
+            overtaken ? kMinOvertakenTimeout : scaled_to_latency(kMinCallTimeout, kMinCallTimeoutLatencies);
+        return std::max(from_seconds(kCallTimeoutLatencies * typical_latency_s(destination)), least);
     }
-    // Failing or slow: an endpoint is not well (silent, failing, or warming up).
-    bool ailing(const Destination& destination) const {
+    // A destination is unhealthy while any of its endpoints is: silent, failing, or in slow start.
+    bool has_unhealthy_endpoint(const Destination& destination) const {
         return std::any_of(destination.endpoints.begin(), destination.endpoints.end(),
             [this](EndpointId id) { return endpoints_.at(id).health != Health::Well; });
     }
+    // Messages per second that the destination is expected to take.
     double drain_rate(const Destination& destination) const {
-        return std::max(kLeastDrain, destination.served_rate);
+        return std::max(kMinDrainRate, destination.served_rate);
     }
-    // While it ails, a destination is expected to stay so for as long again as it has been without a success.
-    Time stalled(const Destination& destination, Time now) const {
-        if (!ailing(destination)) return Time(0);
-        return std::min(kLongStall, now - destination.last_served);
+    // An unhealthy destination is expected to stay so for as long again as it has been without a success.
+    Time expected_outage(const Destination& destination, Time now) const {
+        if (!has_unhealthy_endpoint(destination)) return Time(0);
+        return std::min(kMaxExpectedOutage, now - destination.last_served);
     }
-    const ClassSettings& class_settings(const Message& one) const {
-        return settings_.classes[one.message_class];
+    const ClassSettings& class_settings(const Message& message) const {
+        return settings_.classes[message.message_class];
     }
-    double worth_of(const Message& message, Time served) const {
-        const ClassSettings& kind = settings_.classes[message.message_class];
+    // The value of a message that is delivered at `served`: 0 from its deadline on.
+    double value_at(const Message& message, Time served) const {
+        const ClassSettings& message_class = settings_.classes[message.message_class];
         if (served >= message.deadline) return 0.0;
-        const double worth = kind.worth * (message.over_share ? settings_.over_share_worth : 1.0);
-        return worth * worth_left(kind, settings_.loses_worth, message.born, served);
+        const double value = message_class.worth * (message.over_share ? settings_.over_share_worth : 1.0);
+        return value * worth_left(message_class, settings_.loses_worth, message.born, served);
     }
-    // The connection used last is taken first; the freshest closes last.
-    static bool has_idle(const Endpoint& endpoint, Time now) {
+    // Idle connections are a stack: the connection used last is taken first, and is the last to close.
+    static bool has_idle_connection(const Endpoint& endpoint, Time now) {
         return !endpoint.idle.empty() && endpoint.idle.back() > now;
     }
     static void take_connection(Endpoint& endpoint, Time now) {
-        if (has_idle(endpoint, now)) return endpoint.idle.pop_back();
+        if (has_idle_connection(endpoint, now)) return endpoint.idle.pop_back();
         endpoint.idle.clear();
     }
 
     Settings settings_;
     std::mt19937_64 random_;
-    std::uint64_t tie_break_seed_;  // drawn for this sender alone
+    std::uint64_t tie_break_seed_;  // see tie_break_rank()
     std::unordered_map<DestinationId, Destination> destinations_;
-    std::map<DestinationId, Destination*> active_destinations_;  // those that hold messages,
-    Order by_share_tag_;                                         // all of them by share tag,
-    Order healthy_order_, unhealthy_idle_order_,
-        unhealthy_busy_order_;  // and those that are not parked, apart
-    Time share_tag_offset_{0};  // their share tags are kept less this
-    std::set<std::pair<std::size_t, DestinationId>> by_held_count_;
-    std::set<DestinationId> unlisted_destinations_;  // of all: those that no endpoint names
+    std::map<DestinationId, Destination*> active_destinations_;  // those that hold messages
+    Order by_share_tag_;                                         // all active destinations
+    // Active destinations that are not parked, by share tag and health (MclockTags::enter_order).
+    Order healthy_order_, unhealthy_idle_order_, unhealthy_busy_order_;
+    Time share_tag_offset_{0};  // the share tags of active destinations are stored less this
+    std::set<std::pair<std::size_t, DestinationId>> by_held_count_;  // active destinations by messages held
+    std::set<DestinationId> unlisted_destinations_;  // those to which no listed endpoint belongs
     lockgw::DueQueue<MessageId, Time> expiry_queue_, backoff_queue_;
-    lockgw::DueQueue<std::uint64_t, Time> key_pause_queue_, key_cleanup_queue_;  // of keys in order
-    lockgw::DueQueue<DestinationId, Time> destination_due_queue_;  // their next tag, wait or budget
-    std::map<EndpointId, std::size_t> doubtful_counts_;            // messages that may have run there
-    DestinationId shed_scan_cursor_ = 0;
-    int unhealthy_calls_ = 0, watch_failures_ = 0;
+    // By ordering key: when the pause after a doubtful attempt ends, and when an empty queue may be removed.
+    lockgw::DueQueue<std::uint64_t, Time> key_pause_queue_, key_cleanup_queue_;
+    lockgw::DueQueue<DestinationId, Time>
+        destination_due_queue_;                          // the next tag, wait or budget that falls due
+    std::map<EndpointId, std::size_t> doubtful_counts_;  // messages that may have run at the endpoint
+    DestinationId shed_scan_cursor_ = 0;                 // where the scan in turn goes on
+    int unhealthy_calls_ = 0,
+        watch_failures_ = 0;  // calls out to unhealthy destinations; failed list calls in a row
     std::unordered_map<EndpointId, Endpoint> endpoints_;
     std::unordered_map<MessageId, Message> messages_;
     std::map<std::uint64_t, KeyLine> key_queues_;
-    std::map<std::pair<MessageId, std::uint32_t>, Attempt> attempts_;
-    std::map<std::uint64_t, Call> calls_;
-    std::vector<Time> quota_tags_;                       // by tenant
-    std::vector<Time> connect_refused_at_;               // by kind, the last connect that was refused
-    std::set<EndpointId> freed_endpoints_;               // calls ended there in this batch
-    std::vector<std::set<EndpointId>> route_endpoints_;  // endpoints that each allows, from route 1 on
-    std::set<EndpointId> unlisted_endpoints_;            // no longer listed, and not forgotten yet
-    lockgw::rate_limits::RateLimitTable reported_limits_;
-    std::map<DestinationId, EndpointId>
-        endpoint_by_limit_key_;  // those whose routes are apart, by what all know them as
+    std::map<std::pair<MessageId, std::uint32_t>, Attempt>
+        attempts_;                          // those out, by message and attempt number
+    std::map<std::uint64_t, Call> calls_;   // those out, by call number
+    std::vector<Time> quota_tags_;          // by tenant
+    std::vector<Time> connect_refused_at_;  // by kind, the latest refused connect
+    std::set<EndpointId> freed_endpoints_;  // calls ended there in this batch
+    std::vector<std::set<EndpointId>>
+        route_endpoints_;                      // the endpoints that each route allows, from route 1 on
+    std::set<EndpointId> unlisted_endpoints_;  // no longer listed, and still referred to
+    lockgw::rate_limits::RateLimitTable reported_limits_;        // as told by answers and peers
+    std::map<DestinationId, EndpointId> endpoint_by_limit_key_;  // endpoints with a route of their own
     Time next_gossip_at_{kLongAgo};
-    std::vector<Action> actions_;
+    std::vector<Action> actions_;  // of the decision in progress
     std::uint64_t arrival_count_ = 0, call_count_ = 0;
-    double overall_latency_s_ = 0.0;
-    bool picked_by_reservation_ = false;
+    double overall_latency_s_ = 0.0;      // typical latency over all destinations; 0: none known
+    bool picked_by_reservation_ = false;  // the current pick comes from mClock's reservation phase
     Time next_watch_at_ = kNever, timer_at_{kLongAgo}, next_cleanup_at_{kLongAgo};
 };
 
--- a/tests/capture_stories.cmake
+++ b/tests/capture_stories.cmake
@@ -40,19 +40,19 @@
     set_tests_properties(story_without_${name} PROPERTIES FIXTURES_REQUIRED stories WILL_FAIL TRUE TIMEOUT 120)
 endfunction()
 
-capture_story(silent_partner endpoint_health.hpp "if (sum > kSilentTimes)" "if (sum > 1e9)")
+capture_story(silent_partner endpoint_health.hpp "if (sum > kSilenceLatencies)" "if (sum > 1e9)")
 capture_story(told_wait logic.cpp "route.wait_until = std::max(route.wait_until, now + event.wait);" "route.wait_until = now;")
 capture_story(cold_return scheduler.hpp "return endpoint.health == Health::Well || endpoint.cold_tag <= now;" "return true;")
 capture_story(flap endpoint_health.hpp "endpoint.health = endpoint.failure_seen ? Health::Returning : Health::Well;"
     "endpoint.health = Health::Well;")
 capture_story(drain_in_a_burst scheduler.hpp "if (endpoint.condition != Condition::Ready || route_of" "if (route_of")
 capture_story(doubt_after_a_restart logic.cpp "if (event.doubt) {" "if (event.doubt && now < Time(0)) {")
-capture_story(unsafe_without_an_answer message_lifecycle.hpp "if (kind.effect == Effect::Fragile) return kLongAgo;"
-    "if (kind.effect == Effect::Fragile) return kNever;")
-capture_story(limit_learned endpoint_health.hpp "route.gain = std::max(kLeastGain, before" "route.gain = std::max(1e6, before")
+capture_story(unsafe_without_an_answer message_lifecycle.hpp "if (message_class.effect == Effect::Fragile) return kLongAgo;"
+    "if (message_class.effect == Effect::Fragile) return kNever;")
+capture_story(limit_learned endpoint_health.hpp "kMinLearnedShare, before" "1e6, before")
 capture_story(one_takes_all_slots mclock_tags.hpp "return destination.in_flight == 0 || destination.in_flight + 1 < kMaxDestinationSlotShare * slots;"
     "return slots > 0 || destination.parked;")
-capture_story(order_of_a_key message_lifecycle.hpp "if (line.out > 0 || line.turn.front() != id) return kNever;" "")
-capture_story(room_full_of_the_sick state.hpp "if (!ailing(destination)) return Time(0);" "if (now > Time(0)) return Time(0);")
+capture_story(order_of_a_key message_lifecycle.hpp "if (queue.out > 0 || queue.turn.front() != id) return kNever;" "")
+capture_story(room_full_of_the_sick state.hpp "if (!has_unhealthy_endpoint(destination)) return Time(0);" "if (now > Time(0)) return Time(0);")
 capture_story(attempts_in_a_long_outage message_lifecycle.hpp "if (message.attempts * 2 < most ||"
     "if (message.attempts > 0 ||")
