--- a/src/simulator/drill.cpp
+++ b/src/simulator/drill.cpp
@@ -1,3 +1,4 @@
+// The program cometspoke_drill: runs decision modules for the simulator, over standard input and output.
 #include <iostream>
 
 #include "simulator/wire.hpp"
--- a/src/simulator/wire.cpp
+++ b/src/simulator/wire.cpp
@@ -17,7 +17,7 @@
         {"turned_away", Outcome::TurnedAway}, {"no_answer", Outcome::NoAnswer},
         {"no_connection", Outcome::NoConnection}, {"connection_lost", Outcome::ConnectionLost},
         {"called_off", Outcome::CalledOff}, {"not_sent", Outcome::NotSent}}};
-Outcome outcome_code(const Json& fields) {
+Outcome parse_outcome_code(const Json& fields) {
     const auto text = field<std::string>(fields, "code");
     for (const auto& [name, outcome] : outcome_codes)
         if (text == name) return outcome;
@@ -30,11 +30,11 @@
     std::string text;
     for (std::size_t i = 0; i < bytes.size(); i += 3) {
         std::uint32_t block = 0;
-        const std::size_t have = std::min<std::size_t>(3, bytes.size() - i);
+        const std::size_t available = std::min<std::size_t>(3, bytes.size() - i);
         for (std::size_t j = 0; j < 3; ++j)
-            block = block << 8 | (j < have ? static_cast<unsigned char>(bytes[i + j]) : 0u);
+            block = block << 8 | (j < available ? static_cast<unsigned char>(bytes[i + j]) : 0u);
         for (std::size_t j = 0; j < 4; ++j)
-            text += j <= have ? base64_digits[block >> (18 - 6 * j) & 63] : '=';
+            text += j <= available ? base64_digits[block >> (18 - 6 * j) & 63] : '=';
     }
     return text;
 }
@@ -44,9 +44,9 @@
     int bits = 0;
     for (const char digit : text) {
         if (digit == '=') break;
-        const auto at = std::string_view(base64_digits).find(digit);
-        if (at == std::string_view::npos) throw BadInput("content is not base64");
-        block = block << 6 | static_cast<std::uint32_t>(at);
+        const auto position = std::string_view(base64_digits).find(digit);
+        if (position == std::string_view::npos) throw BadInput("content is not base64");
+        block = block << 6 | static_cast<std::uint32_t>(position);
         bits += 6;
         if (bits >= 8) bytes += static_cast<char>(block >> (bits -= 8) & 255);
     }
@@ -58,13 +58,13 @@
 Instance::Instance(const Json& params, std::uint64_t seed)
     : names_(settings::names_of(params)), sender_(Sender(settings::settings_of(params, names_), seed)) {}
 
-EndpointId Instance::endpoint_of(const std::string& name) {
-    const auto [found, fresh] = endpoints_.emplace(name, static_cast<EndpointId>(endpoint_names_.size()));
-    if (fresh) endpoint_names_.push_back(name);
+EndpointId Instance::endpoint_id(const std::string& name) {
+    const auto [found, inserted] = endpoints_.emplace(name, static_cast<EndpointId>(endpoint_names_.size()));
+    if (inserted) endpoint_names_.push_back(name);
     return found->second;
 }
 
-ListEvent Instance::list_of(const Json& fields, const Json* ledger) {
+ListEvent Instance::parse_list(const Json& fields, const Json* ledger) {
     const int kind = field<int>(fields, "kind");
     if (kind != 0 && kind != 2 && kind != 3 && kind != 4) throw BadInput("unknown VIEW kind");
     ListEvent event;
@@ -76,7 +76,7 @@
     if (ledger == nullptr) throw BadInput("VIEW names a slot without a LEDGER");
     for (const Json& row : *ledger) {
         ListEntry entry;
-        entry.endpoint = endpoint_of(field<std::string>(row, "target"));
+        entry.endpoint = endpoint_id(field<std::string>(row, "target"));
         entry.destination = static_cast<DestinationId>(value_or(row, "destination", 0.0));
         if (const auto zone = value_or<std::string>(row, "az", ""); !zone.empty())
             entry.zone = index_of(names_.zones, zone, "zone");
@@ -92,7 +92,7 @@
     return event;
 }
 
-MessageEvent Instance::message_of(const Json& fields) const {
+MessageEvent Instance::parse_message(const Json& fields) const {
     MessageEvent event;
     event.message = id_of(field<std::string>(fields, "ticket"));
     event.destination = static_cast<DestinationId>(field<double>(fields, "called_node"));
@@ -106,48 +106,48 @@
     return event;
 }
 
-std::optional<LoadReport> Instance::report_of(const Json& fields) const {
+std::optional<LoadReport> Instance::parse_load_report(const Json& fields) const {
     const auto found = fields.find("feedback");
     if (found == fields.end() || !found->is_object()) return std::nullopt;
     if (!found->contains("x0") && !found->contains("x1")) return std::nullopt;
     return LoadReport{value_or(*found, "x0", 0.0), value_or(*found, "x1", 0.0)};
 }
 
-OutcomeEvent Instance::outcome_of(const Json& fields) {
+OutcomeEvent Instance::parse_outcome(const Json& fields) {
     OutcomeEvent event;
     event.message = id_of(field<std::string>(fields, "ticket"));
-    event.endpoint = endpoint_of(field<std::string>(fields, "target"));
+    event.endpoint = endpoint_id(field<std::string>(fields, "target"));
     event.attempt = value_or<std::uint32_t>(fields, "trial", 0);
-    event.outcome = outcome_code(fields);
+    event.outcome = parse_outcome_code(fields);
     event.terminal = value_or(fields, "terminal", false);
     event.rtt = time_or(fields, "rtt_ms", Time(0));
     if (event.outcome == Outcome::TurnedAway) event.wait = time_or(fields, "hold_ms", Time(0));
-    event.report = report_of(fields);
+    event.report = parse_load_report(fields);
     return event;
 }
 
-ProbeResult Instance::probe_of(const Json& fields) {
-    return {endpoint_of(field<std::string>(fields, "target")), outcome_code(fields),
-        time_or(fields, "rtt_ms", Time(0)), report_of(fields)};
+ProbeResult Instance::parse_probe_result(const Json& fields) {
+    return {endpoint_id(field<std::string>(fields, "target")), parse_outcome_code(fields),
+        time_or(fields, "rtt_ms", Time(0)), parse_load_report(fields)};
 }
 
-void Instance::take(const std::string& name, const Json& fields, const Json* ledger, Time now) {
+void Instance::handle(const std::string& name, const Json& fields, const Json* ledger, Time now) {
     if (name == "VIEW") {
-        sender_->observe(list_of(fields, ledger), now);
+        sender_->observe(parse_list(fields, ledger), now);
     } else if (name == "JOB_IN") {
-        sender_->observe(message_of(fields), now);
+        sender_->observe(parse_message(fields), now);
     } else if (name == "FLOWING") {
         sender_->observe(StreamStarted{id_of(field<std::string>(fields, "ticket")),
                              value_or<std::uint32_t>(fields, "trial", 0)},
             now);
     } else if (name == "REPORT_BACK") {
-        sender_->observe(outcome_of(fields), now);
+        sender_->observe(parse_outcome(fields), now);
     } else if (name == "ABANDONED") {
         sender_->observe(AbandonedEvent{id_of(field<std::string>(fields, "ticket"))}, now);
     } else if (name == "WAKE") {
         sender_->observe(TimerFired{}, now);
     } else if (name == "CHECK_RESULT") {
-        sender_->observe(probe_of(fields), now);
+        sender_->observe(parse_probe_result(fields), now);
     } else if (name == "DATAGRAM") {
         sender_->observe(PeerNote{value_or<std::size_t>(fields, "src_peer", 0),
                              from_base64(value_or<std::string>(fields, "content", ""))},
@@ -157,8 +157,8 @@
     }
 }
 
-Json Instance::json_of(const Action& action, std::int64_t who) const {
-    Json fields{{"who", who}};
+Json Instance::to_json(const Action& action, std::int64_t instance_id) const {
+    Json fields{{"who", instance_id}};
     const char* name = "";
     if (const auto* send = std::get_if<Send>(&action)) {
         name = "SEND";
@@ -202,121 +202,121 @@
     return Json{{name, std::move(fields)}};
 }
 
-void Instance::reply(std::int64_t who, Time now, std::ostream& out) {
+void Instance::decide(std::int64_t instance_id, Time now, std::ostream& out) {
     for (const Action& action : sender_->decide(now)) {
         if (const auto* forget = std::get_if<Forget>(&action))
             endpoints_.erase(endpoint_names_.at(forget->endpoint));
         else
-            out << json_of(action, who).dump() << '\n';
+            out << to_json(action, instance_id).dump() << '\n';
     }
 }
 
 namespace {
 
-/// The batches of one process: its instances and numbered lists.
-class Host {
+/// Processes the batches of one run: holds the instances and the numbered lists.
+class BatchRunner {
 public:
-    explicit Host(std::ostream& out) : out_(out) {}
+    explicit BatchRunner(std::ostream& out) : out_(out) {}
 
-    void line(const std::string& text) {
+    void process_line(const std::string& text) {
         const Json object = Json::parse(text);
         if (!object.is_object() || object.size() != 1) throw BadInput("not an object with one key");
         const std::string& name = object.begin().key();
         const Json& fields = object.begin().value();
         if (!fields.is_object()) throw BadInput(name + " is not an object");
-        if (name == "MARK") return begin(fields);
-        if (!inside_) throw BadInput(name + " outside a batch");
-        if (name == "OVER_TO_YOU") return finish();
+        if (name == "MARK") return begin_batch(fields);
+        if (!in_batch_) throw BadInput(name + " outside a batch");
+        if (name == "OVER_TO_YOU") return end_batch();
         if (name == "LEDGER") {
             ledgers_[field<int>(fields, "slot")] = need(fields, "rows_in");
             return;
         }
-        event(name, fields);
+        handle_event(name, fields);
     }
-    bool inside() const { return inside_; }
+    bool in_batch() const { return in_batch_; }
 
 private:
-    void begin(const Json& fields) {
-        if (inside_) throw BadInput("MARK inside a batch");
+    void begin_batch(const Json& fields) {
+        if (in_batch_) throw BadInput("MARK inside a batch");
         now_ = from_ms(field<double>(fields, "time_ms"));
-        inside_ = true;
-        touched_.clear();
-        panics_.clear();
+        in_batch_ = true;
+        affected_.clear();
+        failures_.clear();
     }
-    void event(const std::string& name, const Json& fields) {
-        const auto who = field<std::int64_t>(fields, "who");
+    void handle_event(const std::string& name, const Json& fields) {
+        const auto instance_id = field<std::int64_t>(fields, "who");
         if (name == "PROVISION") {
-            guarded(who, [&] {
-                instances_.insert_or_assign(
-                    who, Instance(need(fields, "params"), value_or<std::uint64_t>(fields, "salt", 0)));
+            catch_failures(instance_id, [&] {
+                instances_.insert_or_assign(instance_id,
+                    Instance(need(fields, "params"), value_or<std::uint64_t>(fields, "salt", 0)));
             });
-            touched_.insert(who);
+            affected_.insert(instance_id);
             return;
         }
-        const auto found = instances_.find(who);
+        const auto found = instances_.find(instance_id);
         if (found == instances_.end()) {
-            if (panics_.contains(who)) return;
-            throw BadInput("unknown instance " + std::to_string(who));
+            if (failures_.contains(instance_id)) return;
+            throw BadInput("unknown instance " + std::to_string(instance_id));
         }
         if (name == "DESTROY") {
             instances_.erase(found);
-            touched_.erase(who);
+            affected_.erase(instance_id);
             return;
         }
         const auto ledger = name == "VIEW" ? ledgers_.find(value_or(fields, "slot", 0)) : ledgers_.end();
-        guarded(who, [&] {
-            found->second.take(name, fields, ledger == ledgers_.end() ? nullptr : &ledger->second, now_);
+        catch_failures(instance_id, [&] {
+            found->second.handle(name, fields, ledger == ledgers_.end() ? nullptr : &ledger->second, now_);
         });
-        touched_.insert(who);
+        affected_.insert(instance_id);
     }
-    /// A failure of the module becomes PANIC in the reply; input that is not the wire stays an error.
-    template <class Work>
-    void guarded(std::int64_t who, Work work) {
+    /// An exception of the decision module becomes a PANIC in the reply. Invalid input stays an error.
+    template <class Function>
+    void catch_failures(std::int64_t instance_id, Function function) {
         try {
-            work();
+            function();
         } catch (const BadInput&) {
             throw;
         } catch (const Json::exception&) {
             throw;
         } catch (const std::exception& failure) {
-            panics_.emplace(who, failure.what());
+            failures_.emplace(instance_id, failure.what());
         }
     }
-    void finish() {
-        for (const std::int64_t who : touched_)
-            if (const auto found = instances_.find(who); found != instances_.end())
-                guarded(who, [&] { found->second.reply(who, now_, out_); });
-        for (const auto& [who, text] : panics_)
-            out_ << Json{{"PANIC", {{"who", who}, {"body_text", text}}}}.dump() << '\n';
+    void end_batch() {
+        for (const std::int64_t instance_id : affected_)
+            if (const auto found = instances_.find(instance_id); found != instances_.end())
+                catch_failures(instance_id, [&] { found->second.decide(instance_id, now_, out_); });
+        for (const auto& [instance_id, text] : failures_)
+            out_ << Json{{"PANIC", {{"who", instance_id}, {"body_text", text}}}}.dump() << '\n';
         out_ << "{\"ACK\":{}}\n" << std::flush;
-        inside_ = false;
+        in_batch_ = false;
     }
 
     std::ostream& out_;
     std::map<std::int64_t, Instance> instances_;
     std::map<int, Json> ledgers_;
-    std::set<std::int64_t> touched_;
-    std::map<std::int64_t, std::string> panics_;
+    std::set<std::int64_t> affected_;
+    std::map<std::int64_t, std::string> failures_;
     Time now_{0};
-    bool inside_ = false;
+    bool in_batch_ = false;
 };
 
 }  // namespace
 
 int run(std::istream& in, std::ostream& out, std::ostream& err) {
-    Host host(out);
+    BatchRunner batches(out);
     std::string text;
     std::size_t number = 0;
     try {
         while (std::getline(in, text)) {
             ++number;
-            if (!text.empty()) host.line(text);
+            if (!text.empty()) batches.process_line(text);
         }
-        if (host.inside()) throw BadInput("the input ends inside a batch");
+        if (batches.in_batch()) throw BadInput("the input ends inside a batch");
     } catch (const std::exception& failure) {
         std::string what = failure.what();
-        for (char& letter : what)
-            if (letter == '\n') letter = ' ';
+        for (char& character : what)
+            if (character == '\n') character = ' ';
         err << "cometspoke_drill: input line " << number << ": " << what << std::endl;
         return 1;
     }
