--- a/tests/helpers.hpp
+++ b/tests/helpers.hpp
@@ -1,4 +1,4 @@
-/// What the tests share: small settings, events and ways to read actions.
+/// Shared by the tests of the decision module: settings, shorthands for events, and access to actions.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -46,15 +46,16 @@
     return settings;
 }
 
+/// The actions of one type, in their order.
 template <class T>
 std::vector<T> actions_of(const std::vector<Action>& actions) {
     std::vector<T> found;
     for (const Action& action : actions)
-        if (const auto* one = std::get_if<T>(&action)) found.push_back(*one);
+        if (const auto* match = std::get_if<T>(&action)) found.push_back(*match);
     return found;
 }
 
-/// A Sender with a clock, and events in few words.
+/// A Sender with a simulated clock, and shorthands for its events.
 class SenderHarness {
 public:
     explicit SenderHarness(Settings settings = make_settings(), std::uint64_t seed = 1)
@@ -85,13 +86,16 @@
         sender.observe(event, now);
     }
     std::vector<Action> decide() { return sender.decide(now); }
+    /// Makes a decision and returns its sends.
     std::vector<Send> decide_sends() { return actions_of<Send>(decide()); }
+    /// Makes a decision and returns the ids of the messages sent.
     std::vector<MessageId> decide_sent_ids() {
         std::vector<MessageId> ids;
         for (const Send& send : decide_sends()) ids.push_back(send.message);
         return ids;
     }
-    /// Lets time pass in steps, deciding at each, and returns the sends with their times.
+    /// Advances the clock by `span` in steps, with a decision at each, and returns the sends with their
+    /// times.
     std::vector<std::pair<Time, Send>> advance(Time span, Time step = ms(10)) {
         std::vector<std::pair<Time, Send>> found;
         for (const Time end = now + span; now < end;) {
--- a/tests/large_fleet_test.cpp
+++ b/tests/large_fleet_test.cpp
@@ -1,5 +1,4 @@
-// What fleets of fifty and more senders brought: each failure found there, in the small and without the
-// bench.
+// Failures found with fleets of fifty and more senders, each reproduced in small and without the bench.
 #include <algorithm>
 #include <map>
 #include <set>
@@ -10,21 +9,21 @@
 namespace cometspoke::testing {
 namespace {
 
-Settings fleet(std::size_t senders) {
+Settings fleet_settings(std::size_t senders) {
     Settings settings = make_settings();
     settings.n_instances = senders;
     settings.max_attempts = 8;
     return settings;
 }
 
-// Many senders that saw a small destination fail come back to it: the sum of their sends in any fall-back
-// window stays inside multiple x present capacity x window, with a little room for chance.
-TEST(Fleet, TogetherInsideTheFallBackBudget) {
+// Many senders that saw a small destination fail return to it: their calls in any recovery window together
+// stay within fall_multiple x present capacity x window, with some allowance for chance.
+TEST(LargeFleet, SendersTogetherStayWithinTheRecoveryBudget) {
     constexpr std::size_t kSenders = 60;
     constexpr double kCapacity = 10.0;
     std::vector<SenderHarness> harnesses;
     for (std::size_t i = 0; i < kSenders; ++i) {
-        Settings settings = fleet(kSenders);
+        Settings settings = fleet_settings(kSenders);
         settings.listed_rates = true;
         harnesses.emplace_back(settings, i + 1);
         harnesses.back().list_endpoint(0, 1, 0, kCapacity);
@@ -55,14 +54,14 @@
     }
 }
 
-// Told that a destination is shut until a moment far off, no sender may come at that very moment: all were
-// told it.
-TEST(Fleet, AToldOpeningIsNotStormed) {
+// All senders were told the same time until which a destination is closed: they must not all call it at that
+// time.
+TEST(LargeFleet, SendersDoNotAllReturnAtTheToldTime) {
     std::size_t at_once = 0;
     for (std::uint64_t seed = 1; seed <= 40; ++seed) {
-        SenderHarness harness(fleet(40), seed);
+        SenderHarness harness(fleet_settings(40), seed);
         harness.list_endpoint(0, 1);
-        harness.list_endpoint(1, 1);  // the other endpoint shares the opening
+        harness.list_endpoint(1, 1);  // the other endpoint shares the wait
         for (MessageId id = 1; id <= 3; ++id) harness.arrive(id, 1);
         const auto out = harness.decide_sends();
         ASSERT_FALSE(out.empty());
@@ -73,9 +72,9 @@
     EXPECT_LE(at_once, 10u);
 }
 
-// The moments at which a lone message is sent, each time refused at once as above the limit.
+// The times at which a single message is sent when each attempt is refused because the limit is used up.
 std::vector<Time> refused_sends(std::size_t senders, double limit, std::size_t count) {
-    SenderHarness harness(fleet(senders));
+    SenderHarness harness(fleet_settings(senders));
     harness.list_endpoint(0, 1);
     harness.arrive(1, 1);
     std::vector<Time> at;
@@ -89,21 +88,22 @@
     return at;
 }
 
-// A refusal that reports a used-up limit is no outage, however many come in a row.
-TEST(Fleet, AUsedUpLimitIsNoOutage) { EXPECT_EQ(refused_sends(40, 40.0, 5).size(), 5u); }
+// A refusal that reports a used-up limit is no outage, however many follow one another.
+TEST(LargeFleet, UsedUpLimitIsNoOutage) { EXPECT_EQ(refused_sends(40, 40.0, 5).size(), 5u); }
 
-// A refusal puts a lone sender off by about an even part, from the first one on: many that repeat at a faster
-// pace can use up a limit by their refused calls alone.
-TEST(Fleet, RefusalsInARowSpreadTheRepeats) {
+// From the first refusal on, each one delays a sender without other calls by about the time that an even part
+// of the limit takes. Many senders that retry faster can use up a limit by their refused calls alone.
+TEST(LargeFleet, RefusalsSpaceTheRetries) {
     const auto at = refused_sends(300, 100.0, 5);
     ASSERT_EQ(at.size(), 5u);
     EXPECT_GT(at[1] - at[0], ms(1500));
     EXPECT_GT(at[4] - at[3], ms(1500));
 }
 
-// A partner that is down refuses connects as one does that has too many: its kind's connections are kept once
-// it is known to be down, for otherwise each call to the others costs a handshake for a minute.
-TEST(Fleet, APartnerThatIsDownUsesUpNoAllowance) {
+// An endpoint that is down refuses connects, as does one with too many connections. Once it is known to be
+// down, idle connections of its kind are kept: otherwise each call to the others costs a handshake for a
+// minute.
+TEST(LargeFleet, EndpointThatIsDownClosesNoIdleConnections) {
     SenderHarness harness;
     harness.list_endpoint(0, 1);
     harness.list_endpoint(1, 2);
@@ -132,9 +132,10 @@
     EXPECT_EQ(closed, 0u);
 }
 
-// A connection that would seldom be used again is given back, one in steady use is kept; after two refused
-// connects at the kind with none made between them none is. A single one may be lost on the way.
-TEST(Fleet, IdleConnectionsAreGivenBack) {
+// An idle connection that would seldom be reused is closed, and one in steady use is kept. After two refused
+// connects of the kind without a success between them none is kept. A single refused connect may be the
+// network's fault.
+TEST(LargeFleet, SeldomUsedIdleConnectionsAreClosed) {
     SenderHarness harness;
     harness.list_endpoint(0, 1);
     MessageId next = 1;
@@ -174,14 +175,14 @@
     EXPECT_EQ(closes_after(ms(1000)), 1u);
 }
 
-// Where calls are rare one failure is all the news there is; where they are many it is one of many.
-TEST(Fleet, AFailureWeighsByTheAgeOfTheNews) {
-    for (const bool rare : {true, false}) {
-        SenderHarness harness(fleet(60));
+// With rare calls a single failure is all that is known; with frequent calls it is one of many outcomes.
+TEST(LargeFleet, FailureWeighsMoreAfterAPause) {
+    for (const bool rare_calls : {true, false}) {
+        SenderHarness harness(fleet_settings(60));
         harness.list_endpoint(0, 1);
         MessageId next = 1;
         for (int i = 0; i < 5; ++i) {
-            harness.now += rare ? ms(6000) : ms(300);
+            harness.now += rare_calls ? ms(6000) : ms(300);
             harness.arrive(next++, 1);
             const auto out = harness.decide_sends();
             ASSERT_EQ(out.size(), 1u);
@@ -189,16 +190,16 @@
             harness.report_outcome(out[0], i < 4 ? Outcome::Served : Outcome::ServerError);
         }
         harness.arrive(next, 1);
-        EXPECT_EQ(harness.advance(ms(200)).empty(), rare);
+        EXPECT_EQ(harness.advance(ms(200)).empty(), rare_calls);
     }
 }
 
-// A sender that has not heard of an outage for a whole warm-up tries sooner and sooner: with few messages it
-// would else keep to the coldest budget long after the return.
-TEST(Fleet, AnOldOutageIsTriedSoonerAndSooner) {
+// A sender without an outcome for a whole slow start tries an endpoint with an outage more and more often:
+// with few messages it would otherwise keep to the smallest recovery budget long after the return.
+TEST(LargeFleet, TrialsGetMoreFrequentInALongOutage) {
     std::vector<std::int64_t> waits;
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-        Settings settings = fleet(200);
+        Settings settings = fleet_settings(200);
         settings.fall = ms(3000);
         settings.classes[kRetryable].deadline = ms(200000);
         SenderHarness harness(settings, seed);
@@ -215,11 +216,11 @@
     EXPECT_LT(*std::max_element(waits.begin(), waits.end()), 50'000'000);
 }
 
-// A connect that runs into its time-out found nobody: an outage at once. One refused at once may have met an
-// allowance used up.
-TEST(Fleet, ASlowFailedConnectIsAnOutage) {
+// A connect that times out reached nobody: an outage at once. One that is refused immediately may have met a
+// limit of connections.
+TEST(LargeFleet, SlowConnectFailureIsAnOutage) {
     for (const bool slow : {true, false}) {
-        SenderHarness harness(fleet(60));
+        SenderHarness harness(fleet_settings(60));
         harness.list_endpoint(0, 1);
         harness.arrive(1, 1);
         const auto out = harness.decide_sends();
@@ -230,19 +231,19 @@
     }
 }
 
-// All deadlines at one instant: a bounded part ends in each decision, the rest with the next timers, and each
-// exactly once.
-TEST(Size, AllDeadlinesAtOneInstantEndInBoundedTurns) {
+// Many messages with the same deadline: each decision ends a bounded number of them, the next timers the
+// rest, and each message ends exactly once.
+TEST(Expiry, ManyMessagesWithOneDeadlineEndInBoundedSteps) {
     constexpr std::size_t kMessages = 5000;
     Settings settings = make_settings();
     settings.most_held = 2 * kMessages;
     SenderHarness harness(settings);
-    for (MessageId id = 1; id <= kMessages; ++id) harness.arrive(id, 1);  // there is no endpoint for them
+    for (MessageId id = 1; id <= kMessages; ++id) harness.arrive(id, 1);  // without an endpoint
     harness.decide();
     harness.now += ms(20000);
     std::set<MessageId> ended;
-    std::size_t turns = 0;
-    for (; ended.size() < kMessages && turns < 100; ++turns) {
+    std::size_t decisions = 0;
+    for (; ended.size() < kMessages && decisions < 100; ++decisions) {
         const auto actions = harness.decide();
         const auto fails = actions_of<Fail>(actions);
         EXPECT_LE(fails.size(), 500u);
@@ -254,7 +255,7 @@
         harness.now += timers[0].delay;
     }
     EXPECT_EQ(ended.size(), kMessages);
-    EXPECT_LE(turns, 10u);
+    EXPECT_LE(decisions, 10u);
 }
 
 }  // namespace
--- a/tests/logic_test.cpp
+++ b/tests/logic_test.cpp
@@ -9,12 +9,13 @@
 
 using Ids = std::vector<MessageId>;
 
-// ---- tags ----
+// ---- mClock tags and slots ----
 
-// One slot, weights 1 and 0.5, a call every 0.7 s. By hand, in seconds from the start: both level at -2;
-// serving 1 gives P1 = max(P1 + 1, now - 1), serving 2 gives P2 = max(P2 + 2, now - 2). That is 1 (P1 -1), 2
-// (P2 0), 1 (0.4), 2 (2), 1 (1.8), 1 (2.8), 2 (4), 1 (3.9), 1 (4.9); the L tags are due each time.
-TEST(Tags, ShareFollowsListedRates) {
+// One slot, weights 1 and 0.5, a call every 0.7 s. Expected order computed by hand, in seconds from the
+// start: both destinations start level at -2; a call to 1 gives P1 = max(P1 + 1, now - 1), a call to 2 gives
+// P2 = max(P2 + 2, now - 2). The calls and the tags after them are 1 (P1 = -1), 2 (P2 = 0), 1 (0.4), 2 (2), 1
+// (1.8), 1 (2.8), 2 (4), 1 (3.9), 1 (4.9); the L tags are due each time.
+TEST(MclockTags, ShareFollowsListedRates) {
     Settings settings = make_settings();
     settings.slots = 1;
     settings.listed_rates = true;
@@ -34,8 +35,8 @@
     EXPECT_EQ(order, (Ids{1, 2, 1, 2, 1, 1, 2, 1, 1}));
 }
 
-// Before any refusal l is the whole listed rate: by hand L = now, now+1/l, ... from the arrival on.
-TEST(Tags, LimitSpacesSends) {
+// Before any refusal l is the whole listed rate; computed by hand, L = now, now+1/l, ... from the arrival on.
+TEST(MclockTags, LimitSpacesSends) {
     Settings settings = make_settings();
     settings.listed_rates = true;
     settings.n_instances = 7;
@@ -48,16 +49,16 @@
     ASSERT_EQ(later.size(), 2u);
     const Time first_gap = later[0].first - start;
     EXPECT_LE(later[1].first - later[0].first, first_gap);
-    EXPECT_GE(later[1].first - later[0].first, first_gap - ms(1));  // the clock is read once a millisecond
+    EXPECT_GE(later[1].first - later[0].first, first_gap - ms(1));  // decisions are made once per millisecond
     EXPECT_GT(first_gap, ms(500));
     EXPECT_LT(first_gap, ms(1000));
 }
 
-// By hand, in seconds from the start, r = 1, weights 1000 and 2, 0.3 s a call. R1 = R2 = 0: 1 goes, R1 = 1;
-// then 2 by its R tag although P1 = -0.001 is far behind in share terms (R2 = 1.3, P2 = 0); then shares: 1 at
-// 0.6 (P1 = 0.599, and R1 stays 1), 2 at 0.9 (P2 = 0 is the smaller, R2 stays 1.3); then R1 = 1 is due
-// at 1.2.
-TEST(Tags, ReservationPhaseGoesFirst) {
+// Computed by hand, in seconds from the start: r = 1, weights 1000 and 2, 0.3 s per call. With R1 = R2 = 0
+// the first call goes to 1 (R1 = 1). The second goes to 2 by its R tag, although P1 = -0.001 is far behind by
+// share (R2 = 1.3, P2 = 0). Then by share: 1 at 0.6 (P1 = 0.599, R1 stays 1) and 2 at 0.9 (P2 = 0 is smaller,
+// R2 stays 1.3). At 1.2, R1 = 1 is due.
+TEST(MclockTags, ReservationPhaseGoesFirst) {
     Settings settings = make_settings();
     settings.slots = 1;
     settings.floor_per_s = 1.0;
@@ -84,15 +85,15 @@
     EXPECT_EQ(order, (Ids{1, 11, 2, 12, 3}));
 }
 
-TEST(Tags, ArrivalOrderWithinDestination) {
+TEST(MclockTags, ArrivalOrderWithinDestination) {
     SenderHarness harness;
     harness.list_endpoint(0, 1);
     for (MessageId id = 5; id > 0; --id) harness.arrive(id, 1);
     EXPECT_EQ(harness.decide_sent_ids(), (Ids{5, 4, 3, 2, 1}));
 }
 
-// A newcomer after long idleness starts level and does not burst ahead of the one that was busy.
-TEST(Tags, ReactivationStartsLevel) {
+// A destination that was idle for long starts level: it does not get a burst of calls ahead of the busy one.
+TEST(MclockTags, ReactivatedDestinationStartsLevel) {
     Settings settings = make_settings();
     settings.slots = 2;
     SenderHarness harness(settings);
@@ -111,23 +112,23 @@
     const auto second = harness.decide_sends();
     ASSERT_EQ(second.size(), 1u);
     EXPECT_EQ(second[0].message, 101u);
-    int newcomer = 0;
-    std::vector<Send> busy{out[0], second[0]};
+    int newcomer_sends = 0;
+    std::vector<Send> in_flight{out[0], second[0]};
     for (int i = 0; i < 8; ++i) {
         harness.now += ms(1000);
-        harness.report_outcome(busy[0], Outcome::Served);
-        busy.erase(busy.begin());
+        harness.report_outcome(in_flight[0], Outcome::Served);
+        in_flight.erase(in_flight.begin());
         const auto next = harness.decide_sends();
         ASSERT_EQ(next.size(), 1u);
-        newcomer += next[0].message > 100;
-        busy.push_back(next[0]);
+        newcomer_sends += next[0].message > 100;
+        in_flight.push_back(next[0]);
     }
-    EXPECT_EQ(newcomer, 4);
+    EXPECT_EQ(newcomer_sends, 4);
 }
 
-// l = 1, so L = 1 after the first send. The stall ends at 5 with both L tags behind: the head may go, and for
-// L = max(2, 5) = 5 the next at once, then L = 6; the rest of the backlog is not released.
-TEST(Tags, AfterAStallTheBacklogIsNotReleasedAtOnce) {
+// l = 1, so L = 1 after the first send. The stall ends at 5 with the L tag in the past: the head may be sent,
+// and since L = max(2, 5) = 5 so may the next one. Then L = 6, and the rest of the backlog waits.
+TEST(MclockTags, BacklogIsNotReleasedAtOnceAfterAStall) {
     Settings settings = make_settings();
     settings.listed_rates = true;
     settings.n_instances = 7;
@@ -145,8 +146,8 @@
     EXPECT_EQ(harness.advance(ms(40)).size(), 1u);
 }
 
-// Weak spot: repeats of an erroring destination must not take the turns of the others.
-TEST(Tags, RepeatsLeaveTheTurnsToOthers) {
+// Retries to a destination that answers with errors must not take the turns of the other destinations.
+TEST(MclockTags, RetriesDoNotDelayOtherDestinations) {
     Settings settings = make_settings();
     settings.slots = 1;
     SenderHarness harness(settings);
@@ -154,35 +155,35 @@
     harness.list_endpoint(1, 2);
     for (MessageId id = 1; id <= 9; ++id) harness.arrive(id, 1);
     for (MessageId id = 11; id <= 19; ++id) harness.arrive(id, 2);
-    std::map<MessageId, std::uint32_t> tries;
+    std::map<MessageId, std::uint32_t> attempts;
     int failing = 0, healthy = 0;
     for (int i = 0; i < 400 && healthy < 9; ++i, harness.now += ms(10)) {
         for (const Send& send : harness.decide_sends()) {
             const bool bad = send.message < 10;
             (bad ? failing : healthy)++;
-            harness.report_outcome(
-                send, bad ? Outcome::ServerError : Outcome::Served, tries[send.message]++, Time(0), ms(10));
+            harness.report_outcome(send, bad ? Outcome::ServerError : Outcome::Served,
+                attempts[send.message]++, Time(0), ms(10));
         }
     }
     EXPECT_EQ(healthy, 9);
     EXPECT_LE(failing, 4);
 }
 
-TEST(Cap, UnderThreeQuartersOfTheSlots) {
-    SenderHarness harness;  // 8 slots: five calls stay under 3/4, six would not
+TEST(SlotCap, OneDestinationStaysUnderThreeQuartersOfTheSlots) {
+    SenderHarness harness;  // 8 slots: five calls are below 3/4, six would not be
     harness.list_endpoint(0, 1);
     for (MessageId id = 1; id <= 8; ++id) harness.arrive(id, 1);
     EXPECT_EQ(harness.decide_sent_ids().size(), 5u);
 }
 
-TEST(Cap, SickDestinationsTogetherHoldHalf) {
+TEST(SlotCap, UnhealthyDestinationsTogetherHoldAtMostHalf) {
     SenderHarness harness;
     for (EndpointId id = 0; id < 6; ++id) harness.list_endpoint(id, id);
     MessageId next = 1;
     for (int i = 0; i < 6; ++i) harness.arrive(next++, i);
     EXPECT_EQ(harness.decide_sends().size(), 6u);
     const auto trials =
-        harness.advance(ms(8000));  // all silent: sick; the held messages may use half of the slots at most
+        harness.advance(ms(8000));  // all silent, hence unhealthy: they may use at most half of the slots
     for (int i = 0; i < 6; ++i) harness.arrive(next++, i);
     EXPECT_TRUE(trials.empty());
     EXPECT_TRUE(harness.decide_sends().empty());
@@ -191,9 +192,9 @@
     EXPECT_EQ(harness.decide_sent_ids(), Ids{99});
 }
 
-// ---- rules ----
+// ---- final answers, effects, list, waits and keys ----
 
-TEST(Answers, EndsAtTheDeadlineHeldOrOut) {
+TEST(FinalAnswer, ComesAtTheDeadlineWhetherHeldOrInFlight) {
     SenderHarness harness;
     harness.list_endpoint(0, 1);
     harness.arrive(1, 1, kFragile, std::nullopt, ms(500));
@@ -205,7 +206,7 @@
     EXPECT_EQ(actions_of<Fail>(harness.decide()).size(), 2u);
 }
 
-TEST(Answers, AsksForATimerAtTheDeadline) {
+TEST(FinalAnswer, TimerIsSetForTheDeadline) {
     SenderHarness harness;
     harness.arrive(1, 7, kRetryable, std::nullopt, ms(500));
     const auto timers = actions_of<SetTimer>(harness.decide());
@@ -213,7 +214,7 @@
     EXPECT_EQ(timers[0].delay, ms(500));
 }
 
-TEST(Effects, FragileEndsAfterDoubtWithAFailure) {
+TEST(Effects, FragileFailsOnceItMayHaveRun) {
     SenderHarness harness;
     harness.list_endpoint(0, 1);
     harness.arrive(1, 1, kFragile);
@@ -225,7 +226,7 @@
     EXPECT_TRUE(actions_of<Refuse>(actions).empty());
 }
 
-TEST(Effects, FragileGoesAgainAfterProvenNotRun) {
+TEST(Effects, FragileIsRetriedIfItDidNotRun) {
     SenderHarness harness;
     harness.list_endpoint(0, 1);
     harness.arrive(1, 1, kFragile);
@@ -235,7 +236,7 @@
     EXPECT_EQ(harness.advance(ms(500)).size(), 1u);
 }
 
-TEST(Effects, DedupOnlyInsideItsWindowFromTheSend) {
+TEST(Effects, DedupIsRetriedOnlyWithinItsWindow) {
     for (const bool inside : {true, false}) {
         SenderHarness harness;
         harness.list_endpoint(0, 1);
@@ -255,7 +256,7 @@
     }
 }
 
-TEST(Effects, DedupZoneScopeStaysInItsZone) {
+TEST(Effects, DedupWithZoneScopeStaysInItsZone) {
     Settings settings = make_settings();
     settings.classes[kDedup].dedup_scope = DedupScope::Zone;
     SenderHarness harness(settings);
@@ -285,7 +286,7 @@
     EXPECT_EQ(ends, 1);
 }
 
-TEST(Drains, NothingToDrainingOrGone) {
+TEST(Drain, DrainingAndGoneEndpointsGetNoCalls) {
     for (const Condition condition : {Condition::Draining, Condition::Gone}) {
         SenderHarness harness;
         harness.list_endpoint(0, 1);
@@ -297,7 +298,7 @@
     }
 }
 
-TEST(Drains, AWholeListReplacesTheOldOne) {
+TEST(Drain, FullListReplacesTheOldOne) {
     SenderHarness harness;
     harness.list_endpoint(0, 1);
     harness.sender.observe(ListEvent{ListKind::Full, {{1, 2, 0, 0, 0.0, Condition::Ready}}}, harness.now);
@@ -306,7 +307,7 @@
     EXPECT_EQ(harness.decide_sent_ids(), Ids{2});
 }
 
-TEST(Waits, ToldWaitIsKeptForTheWholeDestination) {
+TEST(ToldWait, AppliesToTheWholeDestination) {
     SenderHarness harness;
     harness.list_endpoint(0, 1);
     harness.list_endpoint(1, 1);
@@ -318,7 +319,7 @@
     EXPECT_EQ(harness.advance(ms(300)).size(), 2u);
 }
 
-TEST(Waits, OfARouteApartBindsThatRouteOnly) {
+TEST(ToldWait, AppliesToOneEndpointWithARouteOfItsOwn) {
     SenderHarness harness;
     harness.list_endpoint(0, 1, 1);
     harness.list_endpoint(1, 1, 1);
@@ -331,8 +332,9 @@
     EXPECT_NE(next[0].endpoint, out[0].endpoint);
 }
 
-// Found on the standard days: each message of one call may be told its own wait, the longest binds.
-TEST(Waits, EveryMessageOfACallIsHeard) {
+// Found with the standard scenarios: each message of a call may be told a wait of its own, and the longest
+// applies.
+TEST(ToldWait, LongestWaitOfACallApplies) {
     SenderHarness harness;
     harness.list_endpoint(0, 1, 2);
     for (MessageId id = 1; id <= 3; ++id) harness.arrive(id, 1);
@@ -345,7 +347,7 @@
     EXPECT_FALSE(harness.advance(ms(200)).empty());
 }
 
-TEST(Order, OneAtATimeInArrivalOrder) {
+TEST(OrderingKey, OneAtATimeInArrivalOrder) {
     SenderHarness harness;
     harness.list_endpoint(0, 1);
     harness.arrive(1, 1, kSequential, 42);
@@ -359,7 +361,7 @@
     EXPECT_EQ(harness.decide_sent_ids(), Ids{2});
 }
 
-TEST(Order, RestsAfterADoubtfulEnd) {
+TEST(OrderingKey, PausesAfterAnAttemptThatMayStillRun) {
     SenderHarness harness;
     harness.list_endpoint(0, 1);
     harness.arrive(1, 1, kSequential, 42, ms(1000));
@@ -367,14 +369,16 @@
     const auto out = harness.decide_sends();
     ASSERT_EQ(out.size(), 1u);
     harness.now += ms(1000);
-    EXPECT_TRUE(harness.decide_sends().empty());  // the first is given up, its attempt has no outcome yet
+    EXPECT_TRUE(
+        harness.decide_sends().empty());  // the first message has ended, but its attempt has no outcome yet
     harness.report_outcome(out[0], Outcome::NoAnswer);
     EXPECT_TRUE(harness.advance(ms(290)).empty());
     EXPECT_EQ(harness.advance(ms(3000)).size(), 1u);
 }
 
-// After an outage the sends of any window stay within multiple x present capacity x window x the own part.
-TEST(FailBack, SendsStayWithinTheBudget) {
+// After an outage the calls in any window stay within fall_multiple x present capacity x window x this
+// sender's part.
+TEST(RecoveryBudget, SendsStayWithinTheBudget) {
     Settings settings = make_settings();
     settings.listed_rates = true;
     settings.n_instances = 2;
@@ -383,14 +387,14 @@
     MessageId next = 1;
     for (int i = 0; i < 60; ++i) harness.arrive(next++, 1);
     std::vector<Time> sent;
-    std::map<MessageId, std::uint32_t> tries;
+    std::map<MessageId, std::uint32_t> attempts;
     const Time back = harness.now + ms(5000);
     while (harness.now < back + ms(8000)) {
         harness.now += ms(10);
         for (const Send& send : harness.decide_sends()) {
             if (harness.now >= back) sent.push_back(harness.now);
             harness.report_outcome(send, harness.now < back ? Outcome::ConnectionLost : Outcome::Served,
-                tries[send.message]++, Time(0), ms(10));
+                attempts[send.message]++, Time(0), ms(10));
             harness.arrive(next++, 1);
         }
     }
@@ -406,7 +410,7 @@
 
 // ---- health and overload ----
 
-TEST(Health, SilenceShowsBeforeAnyTimeOut) {
+TEST(Health, SilenceIsDetectedBeforeAnyTimeout) {
     SenderHarness harness;
     harness.list_endpoint(0, 1);
     harness.arrive(1, 1);
@@ -415,13 +419,13 @@
     harness.report_outcome(out[0], Outcome::Served);
     harness.arrive(2, 1);
     EXPECT_EQ(harness.decide_sends().size(), 1u);
-    harness.advance(ms(800));  // eight usual times without an answer
+    harness.advance(ms(800));  // eight typical latencies without an answer
     harness.arrive(3, 1, kFragile);
     EXPECT_TRUE(harness.decide_sends().empty());
 }
 
-// Incident i02431b: a destination that is down must not fill the room of the others.
-TEST(Overload, ShedsForTheDestinationThatIsDown) {
+// Incident i02431b: the messages of a destination that is down must not use up the capacity for the others.
+TEST(Overload, ShedsMessagesOfTheDestinationThatIsDown) {
     Settings settings = make_settings();
     settings.most_held = 20;
     SenderHarness harness(settings);
@@ -446,8 +450,8 @@
     for (const MessageId id : refused) EXPECT_LT(id, 100u);
 }
 
-// Incident ife484d: a call that is only slow is left out while nothing better can be done.
-TEST(TimeOuts, ASlowCallIsNotRepeatedWithoutReason) {
+// Incident ife484d: a call that is only slow is left alone while nothing better can be done.
+TEST(Timeout, SlowCallIsNotCancelledWithoutReason) {
     SenderHarness harness;
     harness.list_endpoint(0, 1);
     harness.arrive(1, 1);
@@ -458,17 +462,17 @@
         EXPECT_TRUE(actions_of<CancelAttempt>(harness.decide()).empty());
 }
 
-// Incident i94fd2c: while the backlog outlasts an aim, what loses most by waiting goes before what keeps its
-// worth.
-TEST(Overload, WorthBeforeOrderOnlyWhileTheBacklogOutlastsAnAim) {
+// Incident i94fd2c: while the backlog outlasts an aim, messages that lose value by waiting are sent before
+// those that keep it.
+TEST(Overload, PicksByValueOnlyWhileTheBacklogOutlastsAnAim) {
     for (const bool backlog : {false, true}) {
         Settings settings = make_settings();
         settings.slots = 2;
         settings.loses_worth = LateWorth::Halving;
-        settings.classes[kDedup].late_worth = 1.0;  // keeps all its worth
+        settings.classes[kDedup].late_worth = 1.0;  // keeps its full value
         SenderHarness harness(settings);
         harness.list_endpoint(0, 1);
-        for (MessageId id = 1; id <= 3; ++id) {  // two a second
+        for (MessageId id = 1; id <= 3; ++id) {  // served at two per second
             harness.arrive(id, 1);
             const auto out = harness.decide_sends();
             ASSERT_EQ(out.size(), 1u);
@@ -481,30 +485,35 @@
     }
 }
 
-// One call to each of so many destinations, none answered for six seconds: how many are dropped.
-std::size_t dropped_when_silent(std::size_t destinations, std::size_t message_class) {
+// The number of calls cancelled when one call to each destination gets no answer for six seconds.
+std::size_t cancelled_when_silent(std::size_t destinations, std::size_t message_class) {
     SenderHarness harness;  // 8 slots
     for (EndpointId id = 0; id < destinations; ++id) {
         harness.list_endpoint(id, id);
         harness.arrive(id + 1, id, message_class);
     }
     EXPECT_EQ(harness.decide_sends().size(), destinations);
-    std::size_t dropped = 0;
+    std::size_t cancelled = 0;
     for (int i = 0; i < 60; ++i, harness.now += ms(100))
-        dropped += actions_of<CancelAttempt>(harness.decide()).size();
-    return dropped;
+        cancelled += actions_of<CancelAttempt>(harness.decide()).size();
+    return cancelled;
 }
 
-// Incident i0760ea: calls that nobody answers must not hold the half of the slots that the sick may use.
-TEST(TimeOuts, StuckCallsGoWhenTheSickHaveUsedUpTheirHalf) {
-    EXPECT_EQ(dropped_when_silent(4, kRetryable), 4u);
+// Incident i0760ea: unanswered calls must not hold on to the half of the slots that unhealthy destinations
+// may use.
+TEST(Timeout, StuckCallsAreCancelledWhenUnhealthyDestinationsHoldHalfTheSlots) {
+    EXPECT_EQ(cancelled_when_silent(4, kRetryable), 4u);
 }
 
-// Incident ib08f9d: after a stall of all, calls that may not be repeated must not hold the slots to the end.
-TEST(TimeOuts, SilentFragileCallsGoWhenTheSlotsAreJammed) { EXPECT_EQ(dropped_when_silent(7, kFragile), 7u); }
+// Incident ib08f9d: after an outage of all destinations, calls that may not be repeated must not hold the
+// slots until their deadlines.
+TEST(Timeout, StuckFragileCallsAreCancelledWhenSlotsAreScarce) {
+    EXPECT_EQ(cancelled_when_silent(7, kFragile), 7u);
+}
 
-// Incident ib08f9d: stuck calls fill the half of the sick; another sick destination still gets a trial.
-TEST(Cap, ASickDestinationWithNothingOutGetsATrial) {
+// Incident ib08f9d: stuck calls take the half of the slots that unhealthy destinations may use; another
+// unhealthy destination still gets a trial.
+TEST(SlotCap, UnhealthyDestinationWithoutCallsGetsATrial) {
     SenderHarness harness;  // 8 slots
     for (EndpointId id = 0; id < 5; ++id) harness.list_endpoint(id, id);
     for (MessageId id = 1; id <= 4; ++id) harness.arrive(id, static_cast<DestinationId>(id - 1), kFragile);
@@ -516,9 +525,10 @@
     EXPECT_EQ(harness.advance(ms(2500)).size(), 1u);
 }
 
-// A day of resets (wide+reset+stale): a broken call and a refused connect are the network's noise, and a
-// false outage costs a warm-up. Refused again with no answer between, the process has died.
-TEST(Health, OneBrokenCallAndOneRefusedConnectAreNoDeath) {
+// Found in the scenario wide+reset+stale: one lost connection and one refused connect may be the network's
+// fault, and a false outage costs a slow start. If a second connect is refused without an answer in between,
+// the process has died.
+TEST(Health, OneLostConnectionAndOneRefusedConnectAreNoOutage) {
     for (const int refused : {1, 2}) {
         SenderHarness harness;
         harness.list_endpoint(0, 1);
@@ -532,13 +542,13 @@
             ASSERT_EQ(next.size(), 1u);
             harness.report_outcome(next[0].second, Outcome::NoConnection, static_cast<std::uint32_t>(i));
         }
-        // fragile messages keep away from what is sick
+        // fragile messages are not sent to unhealthy endpoints
         EXPECT_EQ(harness.advance(ms(300)).size(), refused == 1 ? 1u : 0u) << refused;
     }
 }
 
-// Incident i94fd2c: refusals of calls sent together are one piece of news, not a shut destination.
-TEST(Health, RefusalsOfCallsSentTogetherAreOnePieceOfNews) {
+// Incident i94fd2c: refusals of calls that were sent together count as one refusal, not as an outage.
+TEST(Health, RefusalsOfConcurrentCallsCountOnce) {
     SenderHarness harness;
     harness.list_endpoint(0, 1);
     for (MessageId id = 1; id <= 4; ++id) harness.arrive(id, 1, kFragile);
@@ -547,10 +557,10 @@
     harness.now += ms(50);
     for (const Send& send : out) harness.report_outcome(send, Outcome::TurnedAway);
     EXPECT_GE(
-        harness.advance(ms(1500)).size(), 2u);  // not sick: fragile messages go, at the pace refusals taught
+        harness.advance(ms(1500)).size(), 2u);  // healthy: fragile messages are sent, at the reduced rate
 }
 
-TEST(List, WatchIsAskedAgainAfterAFailure) {
+TEST(List, WatchIsRetriedAfterAFailure) {
     Settings settings = make_settings();
     settings.must_subscribe = true;
     SenderHarness harness(settings);
@@ -562,7 +572,7 @@
     EXPECT_EQ(actions_of<Watch>(harness.decide()).size(), 1u);
 }
 
-TEST(Batches, OneCallOneSlot) {
+TEST(Batches, CallWithSeveralMessagesTakesOneSlot) {
     Settings settings = make_settings();
     settings.slots = 2;
     SenderHarness harness(settings);
@@ -571,7 +581,7 @@
     EXPECT_EQ(harness.decide_sent_ids(), (Ids{1, 2, 3, 4}));
 }
 
-TEST(Interface, BadSettingsThrowNamingTheSetting) {
+TEST(Interface, InvalidSettingsThrowWithTheNameOfTheSetting) {
     Settings settings = make_settings();
     settings.slots = 0;
     try {
@@ -587,8 +597,8 @@
     EXPECT_THROW(harness.arrive(1, 1, 99), std::invalid_argument);
 }
 
-// A list event with one bad entry changes nothing: the endpoints before it are not taken over either.
-TEST(Interface, ABadListEventIsRefusedWhole) {
+// A list event with one invalid entry changes nothing: valid entries before it are not applied either.
+TEST(Interface, InvalidListEventChangesNothing) {
     SenderHarness harness;
     ListEvent event;
     event.kind = ListKind::Full;
@@ -600,17 +610,17 @@
     EXPECT_TRUE(harness.decide_sends().empty());
 }
 
-TEST(Interface, UnknownMessagesArePassedOver) {
+TEST(Interface, UnknownMessagesAreIgnored) {
     SenderHarness harness;
     harness.sender.observe(AbandonedEvent{77}, harness.now);
     harness.report_outcome(Send{77, 0, Time(0)}, Outcome::Served);
     EXPECT_TRUE(actions_of<Send>(harness.decide()).empty());
 }
 
-// ---- what has gone ----
+// ---- endpoints that are no longer listed ----
 
-// An outcome or a doubt may still name an endpoint that is no longer listed; after them nothing does.
-TEST(Gone, IsForgottenOnceNothingNamesIt) {
+// An endpoint that is no longer listed may still be referred to by an attempt or by a doubtful message.
+TEST(Forget, EndpointIsForgottenOnceNothingRefersToIt) {
     SenderHarness harness;
     harness.list_endpoint(0, 1);
     harness.arrive(1, 1, kDedup);
@@ -628,31 +638,32 @@
     harness.list_endpoint(0, 1, 0, 0.0, Condition::Gone);
     EXPECT_TRUE(forgotten(ms(2000)).empty());
     harness.report_outcome(out[0], Outcome::ConnectionLost);
-    EXPECT_TRUE(forgotten(ms(2000)).empty());  // a repeat may be bound to where the first try went
+    EXPECT_TRUE(forgotten(ms(2000)).empty());  // a repeat may have to go where the first attempt went
     EXPECT_EQ(forgotten(ms(10000)), std::vector<EndpointId>{0});
 }
 
-std::size_t sends_with_spoilt_answers(int every) {
+std::size_t sends_with_unreadable_answers(int every) {
     SenderHarness harness;
     harness.list_endpoint(0, 1);
     for (MessageId id = 1; id <= 30; ++id) harness.arrive(id, 1);
-    std::map<MessageId, std::uint32_t> tries;
+    std::map<MessageId, std::uint32_t> attempts;
     std::size_t count = 0;
     for (const Time end = harness.now + ms(3000); harness.now < end; harness.now += ms(10))
         for (const Send& send : harness.decide_sends())
             harness.report_outcome(send, ++count % every == 0 ? Outcome::Unreadable : Outcome::Served,
-                tries[send.message]++, Time(0), ms(10));
+                attempts[send.message]++, Time(0), ms(10));
     return count;
 }
-// A spoilt answer comes from a target that takes calls; only where hardly any other comes it is an outage.
-TEST(Health, SpoiltAnswersNowAndThenAreNoOutage) {
-    EXPECT_GT(sends_with_spoilt_answers(4), 30u);
-    EXPECT_LT(sends_with_spoilt_answers(1), 30u);
+// An endpoint that sends an unreadable answer does accept calls: only if hardly any other answer comes, it is
+// an outage.
+TEST(Health, OccasionalUnreadableAnswersAreNoOutage) {
+    EXPECT_GT(sends_with_unreadable_answers(4), 30u);
+    EXPECT_LT(sends_with_unreadable_answers(1), 30u);
 }
 
-// Slots are shared out by the time that calls hold them: two slow partners with long backlogs must not keep
-// the others' many quick calls waiting, though each of them may go as often as the others by its turn.
-TEST(Sender, SlowPartnersDoNotHoldTheSlotsOfQuickOnes) {
+// Slots are shared by the time that calls hold them: two slow destinations with long backlogs must not keep
+// the many quick calls to the others waiting, as they would if each destination got the same number of calls.
+TEST(Scheduler, SlowDestinationsDoNotHoldTheSlotsOfQuickOnes) {
     Settings settings = make_settings();
     settings.most_held = 1000;
     settings.tenants.clear();
@@ -671,13 +682,13 @@
         for (const Send& send : harness.decide_sends())
             out.emplace(harness.now + ms(is_slow(send.endpoint) ? 800 : 40), send);
     }
-    EXPECT_GE(served[false], 300) << "of 400; by turns of calls alone some 60";
-    EXPECT_GE(served[true], 4) << "they are not left out either";
+    EXPECT_GE(served[false], 300) << "of 400; with equal numbers of calls about 60";
+    EXPECT_GE(served[true], 4) << "slow destinations must get calls too";
 }
 
-// An endpoint that moves takes the calls that are out there with it: the destination that it left is not
-// held to be busy for ever.
-TEST(Lists, AnEndpointMovesWithTheCallsThatAreOutThere) {
+// An endpoint that moves takes its calls in flight along: the destination that it left does not stay busy for
+// ever.
+TEST(List, EndpointThatMovesTakesItsCallsAlong) {
     SenderHarness harness;
     harness.list_endpoint(1, 1);
     for (MessageId id = 1; id <= 5; ++id) harness.arrive(id, 1);
--- a/tests/module_sources_test.cpp
+++ b/tests/module_sources_test.cpp
@@ -4,21 +4,22 @@
 #include <fstream>
 #include <string>
 
-TEST(Module, KeepsItsSize) {
-    std::size_t filled = 0;
+// The lines of src/policy are of readable length, and its files are found at all.
+TEST(ModuleSources, LinesAreShort) {
+    std::size_t non_empty_lines = 0;
     for (const auto& entry : std::filesystem::directory_iterator(MODULE_FOLDER)) {
         std::ifstream file(entry.path());
         ASSERT_TRUE(file.is_open()) << entry.path();
         for (std::string line; std::getline(file, line);) {
             EXPECT_LE(line.size(), 110u) << line;
-            filled += line.find_first_not_of(" \t") != std::string::npos;
+            non_empty_lines += line.find_first_not_of(" \t") != std::string::npos;
         }
     }
-    EXPECT_GT(filled, 1000u);
+    EXPECT_GT(non_empty_lines, 1000u);
 }
 
-// What the deployment names as the decisions is all of them.
-TEST(Module, IsNamedWholeByTheDeployment) {
+// The deployment file lists every file of the decision module.
+TEST(ModuleSources, AllFilesAreListedInTheDeployment) {
     std::ifstream deploy(DEPLOY_FILE);
     const std::string text{std::istreambuf_iterator<char>(deploy), {}};
     for (const auto& entry : std::filesystem::directory_iterator(MODULE_FOLDER))
--- a/tests/property_test.cpp
+++ b/tests/property_test.cpp
@@ -8,24 +8,25 @@
 namespace cometspoke::testing {
 namespace {
 
-// Feeds arbitrary legal event sequences (random outcomes, no model of servers) and asserts the rules that can
-// be seen from the Sender's own events and actions.
-class World {
+// Passes random valid sequences of events (with random outcomes, without a model of servers) to a Sender and
+// asserts the invariants that can be checked from its events and actions alone.
+class RandomRun {
 public:
-    explicit World(std::uint64_t seed) : random_(seed), settings_(make_settings()), sender_(settings_, seed) {
+    explicit RandomRun(std::uint64_t seed)
+        : random_(seed), settings_(make_settings()), sender_(settings_, seed) {
         for (EndpointId id = 0; id < kEndpoints; ++id) list(id, Condition::Ready);
     }
 
     void run(int steps) {
         for (int i = 0; i < steps; ++i) {
-            now_ += ms(1 + static_cast<std::int64_t>(pick(40)));
+            now_ += ms(1 + static_cast<std::int64_t>(random_below(40)));
             if (chance(0.5)) arrive();
-            if (chance(0.02)) list(static_cast<EndpointId>(pick(kEndpoints)), condition());
-            while (!out_.empty() && chance(0.35)) finish();
+            if (chance(0.02)) list(static_cast<EndpointId>(random_below(kEndpoints)), condition());
+            while (!in_flight_.empty() && chance(0.35)) finish();
             sender_.observe(TimerFired{}, now_);
             for (const Action& action : sender_.decide(now_))
-                std::visit([this](const auto& a) { act(a); }, action);
-            overdue();
+                std::visit([this](const auto& a) { check(a); }, action);
+            check_deadlines();
         }
         EXPECT_GT(sends_, steps / 20);
     }
@@ -33,28 +34,31 @@
 
 private:
     static constexpr EndpointId kEndpoints = 9;
-    struct Told {
+    struct TrackedMessage {
         MessageEvent event;
         Time deadline{0};
-        bool over = false;
+        bool ended = false;
         std::uint32_t attempts = 0;
-        int out = 0;
-        std::optional<Time> doubt;
+        int in_flight = 0;
+        std::optional<Time> doubtful_since;
     };
-    struct Out {
+    struct InFlight {
         MessageId message;
         EndpointId endpoint;
         std::uint32_t attempt;
         Time sent;
     };
 
-    std::size_t pick(std::size_t n) { return std::uniform_int_distribution<std::size_t>(0, n - 1)(random_); }
+    std::size_t random_below(std::size_t n) {
+        return std::uniform_int_distribution<std::size_t>(0, n - 1)(random_);
+    }
     bool chance(double p) { return std::bernoulli_distribution(p)(random_); }
     Condition condition() {
-        return std::array{Condition::Ready, Condition::Ready, Condition::Draining, Condition::Gone}[pick(4)];
+        return std::array{
+            Condition::Ready, Condition::Ready, Condition::Draining, Condition::Gone}[random_below(4)];
     }
     static DestinationId destination_of(EndpointId id) { return id / 3; }
-    // the wait binds the destination, or the endpoint where its kind (1) has routes apart
+    // a told wait applies to the destination, or only to the endpoint for kinds with routes_apart (kind 1)
     static std::int64_t route_of(EndpointId id) {
         return destination_of(id) == 1 ? 100 + id : destination_of(id);
     }
@@ -69,123 +73,131 @@
     }
     void arrive() {
         MessageEvent event;
-        event.message = ++last_;
-        event.destination = static_cast<DestinationId>(pick(3));
-        event.message_class = pick(4);
-        if (event.message_class == kSequential) event.key = pick(5);
+        event.message = ++last_id_;
+        event.destination = static_cast<DestinationId>(random_below(3));
+        event.message_class = random_below(4);
+        if (event.message_class == kSequential) event.key = random_below(5);
         if (chance(0.5)) event.tenant = 0;
-        event.left = ms(200 + static_cast<std::int64_t>(pick(9000)));
-        told_[event.message] = {event, now_ + event.left, false, 0, 0, std::nullopt};
-        if (event.key) lines_[*event.key].push_back(event.message);
+        event.left = ms(200 + static_cast<std::int64_t>(random_below(9000)));
+        tracked_[event.message] = {event, now_ + event.left, false, 0, 0, std::nullopt};
+        if (event.key) arrivals_by_key_[*event.key].push_back(event.message);
         sender_.observe(event, now_);
     }
     void finish() {
-        const std::size_t at = pick(out_.size());
-        const Out one = out_[at];
-        out_.erase(out_.begin() + static_cast<std::ptrdiff_t>(at));
-        Told& told = told_.at(one.message);
+        const std::size_t at = random_below(in_flight_.size());
+        const InFlight finished = in_flight_[at];
+        in_flight_.erase(in_flight_.begin() + static_cast<std::ptrdiff_t>(at));
+        TrackedMessage& tracked = tracked_.at(finished.message);
         OutcomeEvent event;
-        event.message = one.message;
-        event.endpoint = one.endpoint;
-        event.attempt = one.attempt;
-        event.outcome = chance(0.5) ? Outcome::Served : static_cast<Outcome>(1 + pick(6));
-        event.rtt = now_ - one.sent;
+        event.message = finished.message;
+        event.endpoint = finished.endpoint;
+        event.attempt = finished.attempt;
+        event.outcome = chance(0.5) ? Outcome::Served : static_cast<Outcome>(1 + random_below(6));
+        event.rtt = now_ - finished.sent;
         if (event.outcome == Outcome::TurnedAway && chance(0.5))
-            event.wait = ms(static_cast<std::int64_t>(pick(900)));
-        --told.out;
+            event.wait = ms(static_cast<std::int64_t>(random_below(900)));
+        --tracked.in_flight;
         const bool never_ran = event.outcome == Outcome::TurnedAway || event.outcome == Outcome::NoConnection;
-        if (!never_ran) told.doubt = std::min(told.doubt.value_or(one.sent), one.sent);
-        if (event.outcome == Outcome::Served) told.over = true;
-        event.terminal = told.over;
+        if (!never_ran)
+            tracked.doubtful_since = std::min(tracked.doubtful_since.value_or(finished.sent), finished.sent);
+        if (event.outcome == Outcome::Served) tracked.ended = true;
+        event.terminal = tracked.ended;
         if (event.wait > Time(0))
-            waits_[route_of(one.endpoint)] = std::max(waits_[route_of(one.endpoint)], now_ + event.wait);
-        const bool doubt = event.outcome == Outcome::NoAnswer || event.outcome == Outcome::ConnectionLost ||
-                           event.outcome == Outcome::CalledOff;
-        if (told.event.key && doubt)
-            rests_[*told.event.key][one.message] = now_ + settings_.settle_after_doubt;
+            told_waits_[route_of(finished.endpoint)] =
+                std::max(told_waits_[route_of(finished.endpoint)], now_ + event.wait);
+        const bool may_still_run = event.outcome == Outcome::NoAnswer ||
+                                   event.outcome == Outcome::ConnectionLost ||
+                                   event.outcome == Outcome::CalledOff;
+        if (tracked.event.key && may_still_run)
+            key_pauses_[*tracked.event.key][finished.message] = now_ + settings_.settle_after_doubt;
         sender_.observe(event, now_);
     }
 
-    void act(const Send& send) {
+    void check(const Send& send) {
         ++sends_;
-        note("send", send.message);
-        Told& told = told_.at(send.message);
-        const ClassSettings& kind = settings_.classes[told.event.message_class];
-        ASSERT_FALSE(told.over);
-        ASSERT_EQ(told.out, 0) << "two attempts at once";
-        ASSERT_EQ(destination_of(send.endpoint), told.event.destination);
-        ASSERT_EQ(conditions_.at(send.endpoint), Condition::Ready) << "drain";
-        ASSERT_LE(waits_[route_of(send.endpoint)], now_) << "wait";
-        if (told.doubt) {
+        add_to_trace("send", send.message);
+        TrackedMessage& tracked = tracked_.at(send.message);
+        const ClassSettings& kind = settings_.classes[tracked.event.message_class];
+        ASSERT_FALSE(tracked.ended);
+        ASSERT_EQ(tracked.in_flight, 0) << "two attempts of a message in flight";
+        ASSERT_EQ(destination_of(send.endpoint), tracked.event.destination);
+        ASSERT_EQ(conditions_.at(send.endpoint), Condition::Ready) << "not listed as ready";
+        ASSERT_LE(told_waits_[route_of(send.endpoint)], now_) << "sent before the told wait was over";
+        if (tracked.doubtful_since) {
             ASSERT_NE(kind.effect, Effect::Fragile);
             if (kind.effect == Effect::Dedup) {
-                ASSERT_LE(now_, *told.doubt + kind.window);
+                ASSERT_LE(now_, *tracked.doubtful_since + kind.window);
             }
         }
-        if (told.event.key) order(send.message, *told.event.key);
-        out_.push_back({send.message, send.endpoint, told.attempts++, now_});
-        ASSERT_LE(told.attempts, settings_.max_attempts);
-        ++told.out;
+        if (tracked.event.key) check_key_order(send.message, *tracked.event.key);
+        in_flight_.push_back({send.message, send.endpoint, tracked.attempts++, now_});
+        ASSERT_LE(tracked.attempts, settings_.max_attempts);
+        ++tracked.in_flight;
     }
-    void order(MessageId id, std::uint64_t key) {
-        for (const MessageId earlier : lines_.at(key)) {
+    void check_key_order(MessageId id, std::uint64_t key) {
+        for (const MessageId earlier : arrivals_by_key_.at(key)) {
             if (earlier == id) break;
-            ASSERT_TRUE(told_.at(earlier).over && told_.at(earlier).out == 0) << "order";
-            ASSERT_LE(rests_[key][earlier], now_) << "rest";
+            ASSERT_TRUE(tracked_.at(earlier).ended && tracked_.at(earlier).in_flight == 0)
+                << "sent before an earlier message with the same key had ended";
+            ASSERT_LE(key_pauses_[key][earlier], now_) << "sent during the pause of its key";
         }
     }
-    void act(const Refuse& refuse) {
-        const Told& told = told_.at(refuse.message);
-        const Effect effect = settings_.classes[told.event.message_class].effect;
+    void check(const Refuse& refuse) {
+        const TrackedMessage& tracked = tracked_.at(refuse.message);
+        const Effect effect = settings_.classes[tracked.event.message_class].effect;
         if (effect == Effect::Fragile) {
-            ASSERT_FALSE(told.doubt || told.out > 0) << "refused in doubt";
+            ASSERT_FALSE(tracked.doubtful_since || tracked.in_flight > 0)
+                << "refused although it may have run";
         }
-        end(refuse.message);
+        end_once(refuse.message);
+    }
+    void check(const Fail& fail) { end_once(fail.message); }
+    void check(const CancelAttempt& cancel) {
+        ASSERT_LT(cancel.attempt, tracked_.at(cancel.message).attempts);
     }
-    void act(const Fail& fail) { end(fail.message); }
-    void act(const CancelAttempt& cancel) { ASSERT_LT(cancel.attempt, told_.at(cancel.message).attempts); }
-    template <class Other>
-    void act(const Other&) {}
-    void end(MessageId id) {
-        note("end", id);
-        ASSERT_FALSE(told_.at(id).over) << "two final answers";
-        told_.at(id).over = true;
+    template <class Unchecked>
+    void check(const Unchecked&) {}
+    void end_once(MessageId id) {
+        add_to_trace("end", id);
+        ASSERT_FALSE(tracked_.at(id).ended) << "two final answers";
+        tracked_.at(id).ended = true;
     }
-    void overdue() {
-        for (auto& [id, told] : told_) ASSERT_TRUE(told.over || told.deadline > now_) << "no answer in time";
+    void check_deadlines() {
+        for (auto& [id, tracked] : tracked_)
+            ASSERT_TRUE(tracked.ended || tracked.deadline > now_) << "no final answer by the deadline";
     }
-    void note(const char* what, MessageId id) { trace_.push_back(what + std::to_string(id)); }
+    void add_to_trace(const char* what, MessageId id) { trace_.push_back(what + std::to_string(id)); }
 
     std::mt19937_64 random_;
     Settings settings_;
     Sender sender_;
     Time now_ = ms(5000);
-    MessageId last_ = 0;
+    MessageId last_id_ = 0;
     int sends_ = 0;
-    std::map<MessageId, Told> told_;
-    std::map<std::uint64_t, std::vector<MessageId>> lines_;
-    std::map<std::uint64_t, std::map<MessageId, Time>> rests_;
-    std::map<std::int64_t, Time> waits_;
+    std::map<MessageId, TrackedMessage> tracked_;
+    std::map<std::uint64_t, std::vector<MessageId>> arrivals_by_key_;
+    std::map<std::uint64_t, std::map<MessageId, Time>> key_pauses_;
+    std::map<std::int64_t, Time> told_waits_;
     std::map<EndpointId, Condition> conditions_;
-    std::vector<Out> out_;
+    std::vector<InFlight> in_flight_;
     std::vector<std::string> trace_;
 };
 
-TEST(Property, RulesHoldOnArbitraryEvents) {
+TEST(Property, InvariantsHoldOnRandomEvents) {
     for (std::uint64_t seed = 1; seed <= 40; ++seed) {
-        World world(seed);
-        world.run(1500);
+        RandomRun random_run(seed);
+        random_run.run(1500);
         if (HasFatalFailure()) FAIL() << "seed " << seed;
     }
 }
 
-TEST(Property, SameEventsSameActions) {
-    World one(7), other(8), again(7);
-    one.run(500);
+TEST(Property, SameEventsGiveSameActions) {
+    RandomRun first(7), other(8), again(7);
+    first.run(500);
     other.run(500);
     again.run(500);
-    EXPECT_EQ(one.trace(), again.trace());
-    EXPECT_NE(one.trace(), other.trace());
+    EXPECT_EQ(first.trace(), again.trace());
+    EXPECT_NE(first.trace(), other.trace());
 }
 
 }  // namespace
--- a/tests/random_traffic.hpp
+++ b/tests/random_traffic.hpp
@@ -1,7 +1,8 @@
-/// Random events for the decision module and for another one beside it, which must do the same.
+/// Random events for the decision module and for a second module, which must take the same actions.
 ///
-/// Partners with moods (well, hanging, refusing with waits, failing, shut, noisy, down), lists that change,
-/// messages of all classes, keys, restarts: all from one seed.
+/// Endpoints that are healthy, hang, refuse with waits, fail, are closed, answer at random, or are down;
+/// lists that change; messages of all classes, with and without keys, some accepted before a restart. All of
+/// it follows from one seed.
 #pragma once
 
 #include <cstdlib>
@@ -14,7 +15,7 @@
 
 namespace cometspoke::testing {
 
-inline std::string text_of(const Action& action) {
+inline std::string to_text(const Action& action) {
     std::ostringstream out;
     struct Print {
         std::ostream& out;
@@ -39,14 +40,18 @@
     return out.str();
 }
 
+/// Settings and load of one run of random traffic.
 struct TrafficVariant {
     const char* name;
-    void (*set)(Settings&);
-    double load = 0.5;  ///< chance of a message at a step
+    void (*apply)(Settings&);
+    double load = 0.5;  ///< probability of a new message at each step
 };
-inline std::ostream& operator<<(std::ostream& out, const TrafficVariant& one) { return out << one.name; }
+inline std::ostream& operator<<(std::ostream& out, const TrafficVariant& variant) {
+    return out << variant.name;
+}
 
-/// `Other` is made of settings and a seed, and is told and asked as a Sender is.
+/// Runs a Sender and an `Other` on the same random events and compares their actions. `Other` has the
+/// constructor, observe() and decide() of a Sender.
 template <class Other>
 class DifferentialRun {
 public:
@@ -54,72 +59,80 @@
     DifferentialRun(const TrafficVariant& variant, std::uint64_t seed)
         : variant_(variant),
           random_(seed),
-          settings_(settings_of(variant)),
-          present_(settings_, seed),
-          other_(settings_, seed) {
+          settings_(make_variant_settings(variant)),
+          module_(settings_, seed),
+          other_module_(settings_, seed) {
         for (EndpointId id = 0; id < kEndpoints; ++id) list(id, Condition::Ready);
     }
 
-    /// False where the two part; `told` then says how.
-    bool run(int steps, std::string& told) {
+    /// False if the actions of the two differ; `difference` then says how.
+    bool run(int steps, std::string& difference) {
         for (int i = 0; i < steps; ++i) {
-            if (!chance(0.15)) now_ += Time(static_cast<Time::rep>(pick(chance(0.05) ? 3'000'000 : 40'000)));
+            if (!chance(0.15))
+                now_ += Time(static_cast<Time::rep>(random_below(chance(0.05) ? 3'000'000 : 40'000)));
             for (std::size_t n = chance(0.02) ? 30 : 1; n > 0; --n)
                 if (chance(variant_.load)) arrive();
-            if (chance(0.03)) moods_[pick(kDestinations)] = static_cast<Mood>(pick(Moods));
-            if (chance(0.02)) list(static_cast<EndpointId>(pick(kEndpoints)), condition());
-            if (chance(0.003)) whole_list();
-            if (chance(0.01) && !known_.empty())
+            if (chance(0.03))
+                behaviours_[random_below(kDestinations)] = static_cast<Behaviour>(random_below(kBehaviours));
+            if (chance(0.02)) list(static_cast<EndpointId>(random_below(kEndpoints)), condition());
+            if (chance(0.003)) full_list();
+            if (chance(0.01) && !attempts_.empty())
                 observe(AbandonedEvent{
-                    std::next(known_.begin(), static_cast<std::ptrdiff_t>(pick(known_.size())))->first});
-            for (std::size_t n = out_.size(); n > 0; --n)
-                if (chance(0.4)) finish(pick(out_.size()));
-            if (!decide(told)) return false;
+                    std::next(attempts_.begin(), static_cast<std::ptrdiff_t>(random_below(attempts_.size())))
+                        ->first});
+            for (std::size_t n = in_flight_.size(); n > 0; --n)
+                if (chance(0.4)) finish(random_below(in_flight_.size()));
+            if (!decide(difference)) return false;
         }
         return true;
     }
 
-    Other& other_module() { return other_; }
+    Other& other_module() { return other_module_; }
 
 private:
     static constexpr std::size_t kDestinations = 6;
-    enum Mood { Well, Hangs, Refuses, Fails, Shut, Noisy, Down, Moods };
-    struct Out {
+    enum Behaviour { Healthy, Hangs, Refuses, Fails, Closed, Noisy, Down, kBehaviours };
+    struct InFlight {
         MessageId message;
         EndpointId endpoint;
         std::uint32_t attempt;
         Time sent;
     };
 
-    static Settings settings_of(const TrafficVariant& variant) {
+    static Settings make_variant_settings(const TrafficVariant& variant) {
         Settings settings = make_settings();
         settings.classes[kSequential].aim = ms(500);
         settings.classes[kDedup].aim = ms(800);
         settings.most_held = 120;
-        variant.set(settings);
+        variant.apply(settings);
         return settings;
     }
-    std::size_t pick(std::size_t n) { return std::uniform_int_distribution<std::size_t>(0, n - 1)(random_); }
+    std::size_t random_below(std::size_t n) {
+        return std::uniform_int_distribution<std::size_t>(0, n - 1)(random_);
+    }
     bool chance(double p) { return std::bernoulli_distribution(p)(random_); }
     Condition condition() {
-        return std::array{Condition::Ready, Condition::Ready, Condition::Draining, Condition::Gone}[pick(4)];
+        return std::array{
+            Condition::Ready, Condition::Ready, Condition::Draining, Condition::Gone}[random_below(4)];
     }
     void observe(const Event& event) {
-        present_.observe(event, now_);
-        other_.observe(event, now_);
+        module_.observe(event, now_);
+        other_module_.observe(event, now_);
     }
     ListEntry entry(EndpointId id, Condition condition) {
         ListEntry entry{id, static_cast<DestinationId>(id % kDestinations), id % 2, id % kDestinations % 3,
             0.0, condition};
-        if (chance(0.02)) entry.destination = static_cast<DestinationId>(pick(kDestinations));  // it moves
-        if (settings_.listed_rates) entry.rate = 1.0 + static_cast<double>(pick(40));
+        if (chance(0.02))
+            entry.destination =
+                static_cast<DestinationId>(random_below(kDestinations));  // it moves to another destination
+        if (settings_.listed_rates) entry.rate = 1.0 + static_cast<double>(random_below(40));
         return entry;
     }
     void list(EndpointId id, Condition condition) {
         if (forgotten_.contains(id)) return;
         observe(ListEvent{ListKind::Changes, {entry(id, condition)}});
     }
-    void whole_list() {
+    void full_list() {
         ListEvent event;
         for (EndpointId id = 0; id < kEndpoints; ++id)
             if (!forgotten_.contains(id) && chance(0.85))
@@ -128,28 +141,28 @@
     }
     void arrive() {
         MessageEvent event;
-        event.message = ++messages_ * 7919 % 1'000'003;  // ids in no order
-        event.destination = static_cast<DestinationId>(pick(kDestinations + 1));
-        event.message_class = pick(settings_.classes.size());
+        event.message = ++message_count_ * 7919 % 1'000'003;  // ids in no particular order
+        event.destination = static_cast<DestinationId>(random_below(kDestinations + 1));
+        event.message_class = random_below(settings_.classes.size());
         if (chance(0.5)) event.tenant = 0;
-        if (event.message_class == kSequential || chance(0.1)) event.key = pick(5);
-        event.left = chance(0.1) ? ms(static_cast<std::int64_t>(pick(600))) : ms(20000);
-        if (chance(0.05)) {  // taken on before a restart
-            event.attempts = static_cast<std::uint32_t>(pick(4));
+        if (event.message_class == kSequential || chance(0.1)) event.key = random_below(5);
+        event.left = chance(0.1) ? ms(static_cast<std::int64_t>(random_below(600))) : ms(20000);
+        if (chance(0.05)) {  // accepted before a restart
+            event.attempts = static_cast<std::uint32_t>(random_below(4));
             if (chance(0.5))
-                event.doubt = MessageEvent::Doubt{ms(static_cast<std::int64_t>(pick(5000))),
-                    chance(0.5) && forgotten_.empty() ? std::optional<EndpointId>(pick(kEndpoints))
+                event.doubt = MessageEvent::Doubt{ms(static_cast<std::int64_t>(random_below(5000))),
+                    chance(0.5) && forgotten_.empty() ? std::optional<EndpointId>(random_below(kEndpoints))
                                                       : std::nullopt};
         }
-        known_[event.message] = event.attempts;
+        attempts_[event.message] = event.attempts;
         observe(event);
     }
-    void finish(std::size_t which) {
-        const Out out = out_[which];
+    void finish(std::size_t index) {
+        const InFlight out = in_flight_[index];
         OutcomeEvent event;
         event.message = out.message, event.endpoint = out.endpoint, event.attempt = out.attempt;
         event.rtt = now_ - out.sent;
-        switch (moods_[out.endpoint % kDestinations]) {
+        switch (behaviours_[out.endpoint % kDestinations]) {
             case Hangs:
                 if (now_ - out.sent < ms(4000) && !chance(0.02)) return;
                 event.outcome = Outcome::NoAnswer;
@@ -157,17 +170,17 @@
             case Refuses:
                 event.outcome = chance(0.5) ? Outcome::TurnedAway : Outcome::Served;
                 if (event.outcome == Outcome::TurnedAway && chance(0.6))
-                    event.wait = ms(static_cast<std::int64_t>(pick(900)));
+                    event.wait = ms(static_cast<std::int64_t>(random_below(900)));
                 break;
             case Fails:
                 event.outcome = chance(0.8) ? Outcome::ServerError : Outcome::Served;
                 break;
-            case Shut:
+            case Closed:
                 event.outcome = Outcome::TurnedAway;
-                if (chance(0.5)) event.wait = ms(static_cast<std::int64_t>(pick(6000)));
+                if (chance(0.5)) event.wait = ms(static_cast<std::int64_t>(random_below(6000)));
                 break;
             case Noisy:
-                event.outcome = static_cast<Outcome>(pick(9));
+                event.outcome = static_cast<Outcome>(random_below(9));
                 break;
             case Down:
                 event.outcome = Outcome::NoConnection;
@@ -177,25 +190,25 @@
         }
         if (chance(0.3)) event.report = LoadReport{chance(0.5) ? 0.0 : 0.95, chance(0.5) ? 0.0 : 20.0};
         event.terminal = event.outcome == Outcome::Served || chance(0.01);
-        out_.erase(out_.begin() + static_cast<std::ptrdiff_t>(which));
+        in_flight_.erase(in_flight_.begin() + static_cast<std::ptrdiff_t>(index));
         observe(event);
     }
 
-    bool decide(std::string& told) {
-        const auto present = present_.decide(now_), other = other_.decide(now_);
-        for (std::size_t i = 0; i < std::max(present.size(), other.size()); ++i) {
-            const std::string now = i < present.size() ? text_of(present[i]) : "nothing";
-            const std::string then = i < other.size() ? text_of(other[i]) : "nothing";
-            if (now == then) continue;
-            told = "at " + std::to_string(now_.count()) + " action " + std::to_string(i) + ": " + now +
-                   ", the other " + then;
+    bool decide(std::string& difference) {
+        const auto actions = module_.decide(now_), other = other_module_.decide(now_);
+        for (std::size_t i = 0; i < std::max(actions.size(), other.size()); ++i) {
+            const std::string first = i < actions.size() ? to_text(actions[i]) : "nothing";
+            const std::string second = i < other.size() ? to_text(other[i]) : "nothing";
+            if (first == second) continue;
+            difference = "at " + std::to_string(now_.count()) + " action " + std::to_string(i) + ": " +
+                         first + ", the other module: " + second;
             return false;
         }
-        for (const Action& action : present) {
+        for (const Action& action : actions) {
             if (const auto* send = std::get_if<Send>(&action))
-                out_.push_back({send->message, send->endpoint, known_[send->message]++, now_});
+                in_flight_.push_back({send->message, send->endpoint, attempts_[send->message]++, now_});
             if (const auto* forget = std::get_if<Forget>(&action)) forgotten_.insert(forget->endpoint);
-            ++actions_;
+            ++action_count_;
         }
         return true;
     }
@@ -203,25 +216,26 @@
     const TrafficVariant& variant_;
     std::mt19937_64 random_;
     Settings settings_;
-    Sender present_;
-    Other other_;
+    Sender module_;
+    Other other_module_;
     Time now_ = ms(1'000'000);
-    std::map<std::size_t, Mood> moods_;
-    std::map<MessageId, std::uint32_t> known_;  // attempts so far
-    std::vector<Out> out_;
+    std::map<std::size_t, Behaviour> behaviours_;
+    std::map<MessageId, std::uint32_t> attempts_;  // attempts so far
+    std::vector<InFlight> in_flight_;
     std::set<EndpointId> forgotten_;
-    MessageId messages_ = 0;
-    std::size_t actions_ = 0;
+    MessageId message_count_ = 0;
+    std::size_t action_count_ = 0;
 };
 
 inline std::vector<TrafficVariant> traffic_variants() {
-    return {TrafficVariant{"usual", [](Settings&) {}, 0.6}, TrafficVariant{"idle", [](Settings&) {}, 0.1},
-        TrafficVariant{"full_room", [](Settings& s) { s.most_held = 25; }, 0.9},
+    return {TrafficVariant{"typical", [](Settings&) {}, 0.6},
+        TrafficVariant{"low_load", [](Settings&) {}, 0.1},
+        TrafficVariant{"nearly_full", [](Settings& s) { s.most_held = 25; }, 0.9},
         TrafficVariant{"few_slots", [](Settings& s) { s.slots = 3, s.cancel = false; }, 0.7},
         TrafficVariant{"many_slots", [](Settings& s) { s.slots = 64, s.most_held = 400; }, 0.95},
-        TrafficVariant{"floor", [](Settings& s) { s.floor_per_s = 2.0; }, 0.6},
-        TrafficVariant{"rates", [](Settings& s) { s.listed_rates = true, s.n_instances = 3; }, 0.6},
-        TrafficVariant{"scopes",
+        TrafficVariant{"reservation", [](Settings& s) { s.floor_per_s = 2.0; }, 0.6},
+        TrafficVariant{"listed_rates", [](Settings& s) { s.listed_rates = true, s.n_instances = 3; }, 0.6},
+        TrafficVariant{"dedup_scopes",
             [](Settings& s) {
                 s.classes[kDedup].dedup_scope = DedupScope::Endpoint;
                 s.classes[kRetryable].effect = Effect::Dedup,
@@ -229,19 +243,20 @@
                 s.loses_worth = LateWorth::Halving;
             },
             0.7},
-        TrafficVariant{"keys",
+        TrafficVariant{"ordering_keys",
             [](Settings& s) {
-                for (auto& kind : s.classes) kind.sequential = true;
+                for (auto& message_class : s.classes) message_class.sequential = true;
             },
             0.6},
-        TrafficVariant{"no_spans",
+        TrafficVariant{"zero_durations",
             [](Settings& s) {
                 s.conn_idle = s.fall = s.warm_within = s.settle_after_doubt = Time(0),
                 s.must_subscribe = true;
             },
             0.6}};
 }
-/// Of each variant, from a fresh seed unless LOCKGW_SEED tells one; more in long campaigns (LOCKGW_RUNS).
+/// The seeds to run each variant with: `usual` of them, from a random first one. The environment may set the
+/// first (LOCKGW_SEED) and their number, for long campaigns (LOCKGW_RUNS).
 struct SeedRange {
     explicit SeedRange(std::uint64_t usual) {
         const char* seed = std::getenv("LOCKGW_SEED");
--- a/tests/same_decisions_test.cpp
+++ b/tests/same_decisions_test.cpp
@@ -1,5 +1,6 @@
-// The module against itself before its walks were taken out: the same random events, the same actions in the
-// same order. What is left to approximation (very many held or ready) is beyond the sizes here.
+// Compares the decision module with its version before the linear scans were removed (tests/reference): the
+// same random events must give the same actions in the same order. The present module samples where very many
+// messages are held or ready; the sizes here stay below that.
 #include "random_traffic.hpp"
 #include "reference/logic_before.hpp"
 
@@ -8,12 +9,12 @@
 
 class SameDecisions : public ::testing::TestWithParam<TrafficVariant> {};
 
-TEST_P(SameDecisions, OverRandomEvents) {
+TEST_P(SameDecisions, OnRandomEvents) {
     const SeedRange seeds(100);
     for (std::uint64_t seed = seeds.first; seed < seeds.last; ++seed) {
-        DifferentialRun<SenderBefore> both(GetParam(), seed);
-        std::string told;
-        ASSERT_TRUE(both.run(250, told)) << "seed " << seed << ": " << told;
+        DifferentialRun<SenderBefore> modules(GetParam(), seed);
+        std::string difference;
+        ASSERT_TRUE(modules.run(250, difference)) << "seed " << seed << ": " << difference;
     }
 }
 
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -32,20 +32,20 @@
     int code;
     std::string out, err;
 };
-Result drive(const std::string& input) {
+Result run_adapter(const std::string& input) {
     std::istringstream in(input);
     std::ostringstream out, err;
     const int code = run(in, out, err);
     return {code, out.str(), err.str()};
 }
 std::size_t count(const std::string& text, const std::string& part) {
-    std::size_t found = 0;
-    for (auto at = text.find(part); at != std::string::npos; at = text.find(part, at + 1)) ++found;
-    return found;
+    std::size_t occurrences = 0;
+    for (auto at = text.find(part); at != std::string::npos; at = text.find(part, at + 1)) ++occurrences;
+    return occurrences;
 }
 
-TEST(Wire, EmptyBatchAndCleanEnd) {
-    const Result result = drive(batch(1, ""));
+TEST(Wire, EmptyBatchIsAcknowledged) {
+    const Result result = run_adapter(batch(1, ""));
     EXPECT_EQ(result.code, 0);
     EXPECT_EQ(result.out, "{\"ACK\":{}}\n");
     EXPECT_EQ(result.err, "");
@@ -57,7 +57,7 @@
         R"("code":"served","trial":0,"feedback":{"x0":0.4,"x1":1.25}}})"
         "\n";
     const Result result =
-        drive(batch(10, provision(3) + job(3, "00000000000000af")) + batch(30, done) + batch(8000, ""));
+        run_adapter(batch(10, provision(3) + job(3, "00000000000000af")) + batch(30, done) + batch(8000, ""));
     EXPECT_EQ(result.code, 0) << result.err;
     EXPECT_EQ(count(result.out, "\"SEND\""), 1u);
     EXPECT_EQ(count(result.out, "00000000000000af"), 1u);
@@ -66,8 +66,8 @@
     EXPECT_EQ(count(result.out, "\"ACK\""), 3u);
 }
 
-TEST(Wire, EveryEventIsTaken) {
-    const Result result = drive(batch(
+TEST(Wire, EveryEventIsAccepted) {
+    const Result result = run_adapter(batch(
         10, provision(3) + job(3, "00000000000000af") +
                 R"({"FLOWING":{"who":3,"ticket":"00000000000000af","trial":0,"target":"t_a","rtt_ms":9.25}})"
                 "\n"
@@ -85,35 +85,35 @@
     EXPECT_EQ(count(result.out, "\"SEND\""), 0u);
 }
 
-TEST(Wire, KilledAndStartedAgainInOneBatch) {
+TEST(Wire, InstanceIsDestroyedAndCreatedAgainInOneBatch) {
     const Result result =
-        drive(batch(10, provision(3) + job(3, "00000000000000af") + "{\"DESTROY\":{\"who\":3}}\n" +
-                            provision(3) + job(3, "00000000000000b0")));
+        run_adapter(batch(10, provision(3) + job(3, "00000000000000af") + "{\"DESTROY\":{\"who\":3}}\n" +
+                                  provision(3) + job(3, "00000000000000b0")));
     EXPECT_EQ(result.code, 0) << result.err;
     EXPECT_EQ(count(result.out, "00000000000000af"), 0u);
     EXPECT_EQ(count(result.out, "00000000000000b0"), 1u);
 }
 
-TEST(Wire, LedgerNumbersFollowEventOrder) {
+TEST(Wire, ViewUsesTheLedgerBeforeIt) {
     const std::string other =
         R"({"LEDGER":{"slot":0,"rows_in":[{"target":"t_b","az":"z1","destination":57,"shape":"k","condition":1}]}})"
         "\n";
-    const Result result = drive(batch(10, provision(3) + other + job(3, "00000000000000af")));
+    const Result result = run_adapter(batch(10, provision(3) + other + job(3, "00000000000000af")));
     EXPECT_EQ(count(result.out, "t_a"), 1u);
     EXPECT_EQ(count(result.out, "t_b"), 0u);
 }
 
-TEST(Wire, InstancesActAlikeTogetherAndApart) {
-    const std::string together = drive(
+TEST(Wire, InstancesAreIndependent) {
+    const std::string together = run_adapter(
         batch(10, provision(1) + job(1, "00000000000000a1") + provision(2) + job(2, "00000000000000a2")))
                                      .out;
-    const std::string one = drive(batch(10, provision(1) + job(1, "00000000000000a1"))).out;
-    const std::string two = drive(batch(10, provision(2) + job(2, "00000000000000a2"))).out;
+    const std::string first_alone = run_adapter(batch(10, provision(1) + job(1, "00000000000000a1"))).out;
+    const std::string second_alone = run_adapter(batch(10, provision(2) + job(2, "00000000000000a2"))).out;
     const std::string ack = "{\"ACK\":{}}\n";
-    EXPECT_EQ(together, one.substr(0, one.size() - ack.size()) + two);
+    EXPECT_EQ(together, first_alone.substr(0, first_alone.size() - ack.size()) + second_alone);
 }
 
-TEST(Wire, BadInputEndsWithOneLineNamingTheLine) {
+TEST(Wire, BadInputIsReportedWithItsLineNumber) {
     const std::vector<std::pair<std::string, std::string>> cases = {
         {"{\"MARK\":{\"time_ms\":1}}\n{nonsense\n", "line 2"},
         {batch(1, job(9, "00000000000000af")), "line 2: unknown instance 9"},
@@ -123,18 +123,18 @@
         {"{\"WAKE\":{\"who\":1}}\n", "line 1: WAKE outside a batch"},
         {batch(1, provision(3) + "{\"SURPRISE\":{\"who\":3}}\n"), "line 5: unknown event SURPRISE"},
     };
-    for (const auto& [input, what] : cases) {
-        const Result result = drive(input);
-        EXPECT_NE(result.code, 0) << what;
-        EXPECT_NE(result.err.find(what), std::string::npos) << result.err;
+    for (const auto& [input, expected_error] : cases) {
+        const Result result = run_adapter(input);
+        EXPECT_NE(result.code, 0) << expected_error;
+        EXPECT_NE(result.err.find(expected_error), std::string::npos) << result.err;
         EXPECT_EQ(count(result.err, "\n"), 1u);
     }
 }
 
 TEST(Wire, AnExceptionInTheModuleBecomesPanic) {
-    std::string bad = provision(3);
-    bad.replace(bad.find("\"slots\":8"), 9, "\"slots\":0");
-    const Result result = drive(batch(1, bad));
+    std::string invalid = provision(3);
+    invalid.replace(invalid.find("\"slots\":8"), 9, "\"slots\":0");
+    const Result result = run_adapter(batch(1, invalid));
     EXPECT_EQ(result.code, 0);
     EXPECT_EQ(count(result.out, "\"PANIC\""), 1u);
     EXPECT_NE(result.out.find("slots"), std::string::npos);
@@ -147,7 +147,7 @@
         ticket << std::hex << (0x1000000000000000ULL + static_cast<unsigned long long>(i));
         events += job(3, ticket.str());
     }
-    const Result result = drive(batch(1, events));
+    const Result result = run_adapter(batch(1, events));
     EXPECT_EQ(result.code, 0);
     EXPECT_EQ(count(result.out, "\"SEND\""), 5u);
     EXPECT_GE(count(result.out, "\"DENY\""), 4950u);
