--- a/include/cometspoke/sender.hpp
+++ b/include/cometspoke/sender.hpp
@@ -161,7 +161,7 @@
     Outcome outcome = Outcome::Served;
     bool terminal = false;  ///< the message has its final answer
     Time rtt{0};
-    Time wait{0};  ///< for TurnedAway: how long the endpoint asks to wait; 0: not told
+    Time wait{0};  ///< for TurnedAway: the retry-after wait; 0: none
     std::optional<LoadReport> report;
 };
 /// Which endpoints each route allows, from route 1 on. Replaces all earlier routes. A route restricts a
@@ -179,9 +179,9 @@
 struct SettingsEvent {
     Settings settings;
 };
-/// The subset of a destination's endpoints that this sender uses, with weights. Replaces what was told about
-/// the destination before. An endpoint outside the subset gets a call only if none of the subset may have
-/// one, or those of the subset are busier.
+/// The subset of a destination's endpoints that this sender uses, with weights. Replaces the earlier subset
+/// of the destination. An endpoint outside the subset gets a call only if none of the subset may have one, or
+/// those of the subset are busier.
 struct SpreadEvent {
     struct Part {
         EndpointId endpoint = 0;
@@ -319,7 +319,7 @@
     /// exist. The event then changes nothing.
     void observe(const Event& event, Time now);
     std::vector<Action> decide(Time now);
-    /// Until when an endpoint has asked this sender to wait; a time long past if it has not, or if it is
+    /// The end of the endpoint's retry-after wait; a time long past if there is none, or if the endpoint is
     /// unknown.
     Time wait_until(EndpointId endpoint) const;
     /// The whole state between decisions (src/policy/state.hpp), for code that stores or shows it.
--- a/src/policy/endpoint_health.hpp
+++ b/src/policy/endpoint_health.hpp
@@ -30,8 +30,8 @@
                 update_limit_tag(route, *endpoint.home);
             }
         }
-        if (outcome == Outcome::CalledOff)
-            return;  // cancelled by this sender: says nothing new about the endpoint
+        // cancelled by this sender: says nothing new about the endpoint
+        if (outcome == Outcome::CalledOff) return;
         if (outcome == Outcome::ConnectionLost) endpoint.lost_at = now;
         if (outcome == Outcome::Unreadable || outcome == Outcome::ConnectionLost)
             return record_unreadable(endpoint, now);
@@ -63,13 +63,13 @@
         }
         endpoint.failing += failure_weight(endpoint, now) * (1.0 - endpoint.failing);
         endpoint.failure_seen = true;
-        if (route.wait_until >
-            now + kOutageRetryAfter)  // closed until a told time: so are all endpoints that share the wait
+        // the endpoint said until when it is closed: so are all endpoints that share the wait
+        if (route.wait_until > now + kOutageRetryAfter)
             for (const EndpointId sibling : endpoint.home->endpoints)
                 if (&route_of(endpoints_.at(sibling)) == &route) mark_unhealthy(endpoints_.at(sibling), now);
         if (endpoint.health != Health::Returning && endpoint.failing <= kOutageFailureShare) return;
-        if (connect_refused)
-            connect_refused_at_[endpoint.kind] = kLongAgo;  // it is down: no connection limit was met
+        // it is down: the refused connects were no sign of a connection limit
+        if (connect_refused) connect_refused_at_[endpoint.kind] = kLongAgo;
         mark_unhealthy(endpoint, now);
     }
     // An answer that could not be read, or that broke off. The endpoint took the call: that is a sign of an
@@ -141,13 +141,14 @@
         if (latency <= 0) latency = sample;
         latency += kLatencySmoothing * (std::min(sample, kLatencyClipFactor * latency) - latency);
     }
-    // The endpoint has an outage. Where a told wait says when it opens, its slow start begins at that time.
+    // The endpoint has an outage. If it gave a long retry-after wait, its slow start begins at the end of
+    // that wait.
     void mark_unhealthy(Endpoint& endpoint, Time now) {
         if (endpoint.health == Health::Well) endpoint.fell = now;
         endpoint.health = Health::Sick;
-        if (const Time opening = route_of(endpoint).wait_until; opening > now + kOutageRetryAfter) {
+        if (const Time reopens_at = route_of(endpoint).wait_until; reopens_at > now + kOutageRetryAfter) {
             endpoint.health = Health::Returning;
-            endpoint.returned = endpoint.cold_tag = opening;
+            endpoint.returned = endpoint.cold_tag = reopens_at;
         }
         charge_recovery_budget(endpoint, now);
         reschedule(endpoint.destination, now);
@@ -166,16 +167,15 @@
     // Takes one call out of the recovery budget of an endpoint, by moving its cold_tag: the next call may go
     // from then on. The budget is this sender's part of fall_multiple x present capacity. The capacity rises
     // evenly from cold_from to all of it within warm_within after the return; the return is taken to be no
-    // earlier than the first success or the told opening, since a trial before that may meet the endpoint at
-    // its coldest. The gap is randomized, so that senders that saw the same failure do not come back at the
-    // same moment.
+    // earlier than the first success or the end of a long retry-after wait, since a trial before that may
+    // meet the endpoint with its least capacity. The gap is randomized, so that senders that saw the same
+    // failure do not come back at the same moment.
     void charge_recovery_budget(Endpoint& endpoint, Time now) {
         const std::size_t sharing = has_own_route(endpoint) ? 1 : endpoint.home->endpoints.size();
         const double present =
             estimated_capacity(route_of(endpoint), *endpoint.home) / std::max<double>(1, sharing);
         const Time from = std::max(endpoint.cold_tag, now);
-        // only senders that have called since the outage began know of it; once it is over no more learn of
-        // it
+        // only senders that have called since the outage began know of it; after its end no more learn of it
         if (endpoint.last_good <= endpoint.fell) {
             const Time outage = from - (endpoint.last_good + endpoint.fell) / 2;
             endpoint.knowing =
@@ -209,8 +209,8 @@
     void detect_silence(Time now) {
         std::vector<std::pair<EndpointId, double>> waiting;  // no more entries than calls out
         for (const auto& [id, call] : calls_) {
-            if (call.overtaken || call.at->health != Health::Well)
-                continue;  // only this call is stuck, or the endpoint is known to be unhealthy
+            // only this call is stuck, or the endpoint is known to be unhealthy
+            if (call.overtaken || call.at->health != Health::Well) continue;
             auto sum = std::find_if(waiting.begin(), waiting.end(),
                 [&call = call](const auto& entry) { return entry.first == call.endpoint; });
             if (sum == waiting.end()) sum = waiting.insert(sum, {call.endpoint, 0.0});
--- a/src/policy/load_shedding.hpp
+++ b/src/policy/load_shedding.hpp
@@ -47,8 +47,8 @@
         }
         return least.id;
     }
-    // With very many messages held: looks only at both ends of the longest queues and of some others, taken
-    // in turn.
+    // With very many messages held: considers only both ends of the longest queues and of some others, taken
+    // round-robin.
     std::optional<MessageId> lowest_value_of_sample(Time now) {
         ShedCandidate least;
         auto longest = by_held_count_.rbegin();
--- a/src/policy/logic.cpp
+++ b/src/policy/logic.cpp
@@ -86,13 +86,13 @@
     void handle(const OutcomeEvent& event, Time now) {
         const auto found = attempts_.find({event.message, event.attempt});
         if (found == attempts_.end()) return;
-        const auto [call_id, key, dropped] = found->second;
+        const auto [call_id, key, cancelled] = found->second;
         attempts_.erase(found);
         if (key) apply_key_outcome(*key, event, now);
         Call& call = calls_.at(call_id);
         Endpoint& endpoint = *call.at;
-        Route& route =
-            route_of(endpoint);  // each message of a call may be told a wait of its own: the longest holds
+        Route& route = route_of(endpoint);
+        // each message of a call may be given a retry-after of its own: the longest applies
         if (event.outcome == Outcome::TurnedAway)
             route.wait_until = std::max(route.wait_until, now + event.wait);
         if (!call.judged && event.outcome != Outcome::NotSent) {
@@ -149,7 +149,7 @@
     // still to come, and probes are not used.
     template <class Ignored>
     void handle(const Ignored&, Time) {}
-    // One decision for all events handled since the last one.
+    // Makes one decision for all events handled since the last one.
     std::vector<Action> decide(Time now) {
         actions_.clear();
         if (next_watch_at_ <= now) actions_.emplace_back(Watch{true}), next_watch_at_ = kNever;
@@ -181,8 +181,8 @@
         const bool gone = entry.condition == Condition::Gone;
         gone ? void(unlisted_endpoints_.insert(entry.endpoint))
              : void(unlisted_endpoints_.erase(entry.endpoint));
-        if (endpoint.destination !=
-            entry.destination)  // new, or moved together with the calls that are out there
+        // a new endpoint, or one that moved: its calls in flight move with it
+        if (endpoint.destination != entry.destination)
             if (const auto previous = destinations_.find(endpoint.destination);
                 previous != destinations_.end()) {
                 previous->second.endpoints.erase(entry.endpoint),
@@ -252,7 +252,7 @@
         for (const DestinationId id : destination_due_queue_.take_due(now)) reschedule(id, now);
     }
     // Asks for a timer at the next time at which something falls due, in a millisecond at the earliest,
-    // unless one is set that comes no later.
+    // unless a timer that expires no later is set already.
     void set_timer(Time now) {
         Time next = next_watch_at_;
         if (reported_limits_.has_unsent()) next = std::min(next, next_gossip_at_);
--- a/src/policy/mclock_tags.hpp
+++ b/src/policy/mclock_tags.hpp
@@ -4,7 +4,7 @@
 /// - R (reservation_tag): the destination is entitled to a call from then on, by its reservation r;
 /// - L (limit_tag): no call before then, by this sender's rate limit l; kept per Route;
 /// - P (share_tag): among destinations within their limits the smallest goes first, by the weight w.
-/// A destination that cannot send now is parked: it is looked at again only after something of it has
+/// A destination that cannot send now is parked: it is considered again only after something of it has
 /// changed.
 #pragma once
 
@@ -16,7 +16,7 @@
     using State::State;
 
     // To be called when anything of a destination has changed: unparks it, puts it into the order that fits
-    // its health and its calls, and computes its next due time anew.
+    // its health and its calls, and recomputes its next due time.
     void reschedule(DestinationId id, Time now) {
         const auto found = destinations_.find(id);
         if (found == destinations_.end()) return;
--- a/src/policy/message_lifecycle.hpp
+++ b/src/policy/message_lifecycle.hpp
@@ -13,8 +13,8 @@
 struct MessageLifecycle : EndpointHealth {
     using EndpointHealth::EndpointHealth;
 
-    // An attempt of a message has ended: with its final answer the message goes, otherwise it is held for a
-    // retry.
+    // An attempt of a message has ended: with its final answer the message is removed, otherwise it is held
+    // for a retry.
     void apply_outcome(const OutcomeEvent& event, const Call& call, Time now) {
         const bool never_ran = event.outcome == Outcome::TurnedAway ||
                                event.outcome == Outcome::NoConnection || event.outcome == Outcome::NotSent;
@@ -36,8 +36,8 @@
         message.doubt_at = endpoint;
         if (endpoint) ++doubtful_counts_[*endpoint];
     }
-    // To be called when anything of a message has changed: computes anew when it expires, when its backoff
-    // ends and whether it is ready.
+    // To be called when anything of a message has changed: recomputes when it expires, when its backoff ends
+    // and whether it is ready.
     void message_changed(MessageId id, Time now) {
         const auto found = messages_.find(id);
         if (found == messages_.end()) return;
@@ -56,8 +56,8 @@
         is_ready ? ready.put(group, message.arrival, message.born, id)
                  : ready.take(group, message.arrival, message.born);
     }
-    // To be called when the queue of an ordering key has changed: computes anew when its first message may
-    // go, and when the queue may be removed.
+    // To be called when the queue of an ordering key has changed: recomputes when its first message may be
+    // sent, and when the queue may be removed.
     void key_queue_changed(std::uint64_t key, Time now) {
         const auto found = key_queues_.find(key);
         if (found == key_queues_.end()) return key_pause_queue_.erase(key), key_cleanup_queue_.erase(key);
@@ -103,7 +103,7 @@
         const KeyLine& queue = key_queues_.at(key);
         if (queue.turn.empty() && queue.out == 0 && queue.rest_until <= now) key_queues_.erase(key);
     }
-    // From when on the message may go as far as its ordering key allows; kNever while another one of the key
+    // From when on the ordering key allows the message to be sent; kNever while another message of the key
     // goes first.
     Time key_turn_at(MessageId id, std::uint64_t key) const {
         const KeyLine& queue = key_queues_.at(key);
--- a/src/policy/scheduler.hpp
+++ b/src/policy/scheduler.hpp
@@ -95,9 +95,8 @@
         if (settings_.floor_per_s <= 0) return;
         const Time step = gap_of(settings_.floor_per_s);
         destination.reservation_tag = std::max(destination.reservation_tag + step, now);
-        if (!picked_by_reservation_)
-            destination.reservation_tag -=
-                step;  // picked by share: the reservation is not used, so 1/r is taken off again
+        // picked by share: the reservation was not used, so 1/r is taken off again
+        if (!picked_by_reservation_) destination.reservation_tag -= step;
     }
     void send_attempt(MessageId id, EndpointId to, std::uint64_t call_id, Time now) {
         Message& message = messages_.at(id);
@@ -134,8 +133,8 @@
         const Time backlog = backlog_delay(destination);
         std::optional<Pick> best;
         double highest_loss = 0.0;
-        std::set<std::size_t>
-            blocked;  // fragile classes: no available endpoint may have any of their messages
+        // fragile classes of which no available endpoint may have a message
+        std::set<std::size_t> blocked;
         const auto consider = [&](MessageId message_id) {
             const Message& message = messages_.at(message_id);
             if (blocked.contains(message.message_class) || !can_send(message_id, message, now)) return true;
@@ -216,7 +215,7 @@
     static double calls_ahead_of_share(const Endpoint& endpoint) {
         return (endpoint.turn - endpoint.home->turn) * endpoint.weight;
     }
-    // Listed as ready, without a told wait, and with recovery budget left if it is unhealthy.
+    // Listed as ready, not within a retry-after wait, and with recovery budget left if it is unhealthy.
     bool is_available(EndpointId id, Time now) {
         Endpoint& endpoint = endpoints_.at(id);
         if (endpoint.condition != Condition::Ready || route_of(endpoint).wait_until > now) return false;
--- a/src/policy/state.hpp
+++ b/src/policy/state.hpp
@@ -70,7 +70,7 @@
 // Older outcomes say little about the present: after about this time without one, a single failure means an
 // outage.
 constexpr double kFailureMemory_s = 4.0;
-// A told wait above this is no rate limit: the endpoint has an outage until the wait ends.
+// A retry-after wait above this is no rate limit: the endpoint has an outage until the wait ends.
 constexpr Time kOutageRetryAfter{2'500'000};
 constexpr double kOutageShareLeft = 0.9;  // refused although so much of the limit is left: an outage too
 // A connect that fails later than this reached nobody. One that fails sooner may have met a limit of
@@ -141,7 +141,7 @@
 constexpr Time kCleanupInterval{1'000'000};     // least time between two removals of unreferenced state
 // With more messages held, the message to shed is chosen from a sample.
 constexpr std::size_t kMaxHeldForExactShedding = 2000;
-// The sample takes this many destinations with the longest queues, and as many others in turn,
+// The sample takes this many destinations with the longest queues, and as many others in round-robin order;
 constexpr std::size_t kShedScanDestinations = 8;
 constexpr std::size_t kShedScanPerQueueEnd = 16;  // this many messages at either end of each
 // With more messages ready at a destination, the one that loses the most value by waiting is chosen from a
@@ -168,8 +168,8 @@
         connect_refused_at_.resize(settings_.kinds.size(), kLongAgo);
         if (settings_.must_subscribe) next_watch_at_ = kLongAgo;
         const std::size_t capacity = std::min<std::size_t>(settings_.most_held, 1u << 20);
-        messages_.reserve(capacity), expiry_queue_.reserve(capacity),
-            endpoints_.reserve(1u << 16);  // so that no decision pays for a rehash
+        // so that no decision pays for a rehash
+        messages_.reserve(capacity), expiry_queue_.reserve(capacity), endpoints_.reserve(1u << 16);
     }
 
     // Whether the endpoint has a rate limit, waits and outages of its own instead of its destination's.
@@ -183,8 +183,8 @@
     }
     // This sender's rate limit in calls per second (l): an even part of the shared limit times the learned
     // factor. Without a known limit it is unbounded (0) until the first refusal; from then on the rate at
-    // which the destination is seen to answer takes the place of the limit. Where an answer told how much of
-    // the limit is left, fair_share() bounds the learned factor.
+    // which the destination is seen to answer takes the place of the limit. Where an answer reported how much
+    // of the limit is left, fair_share() bounds the learned factor.
     double sender_limit(const Route& route, const Destination& destination) const {
         if (route.heard > 0 && route.left >= 0) {
             const double fair = lockgw::rate_limits::fair_share(
@@ -203,7 +203,7 @@
                                : std::max(kMinCapacityPerS, destination.served_rate * sender_count());
     }
     bool gossips_limits() const { return settings_.notes && settings_.n_instances >= kGossipMinSenders; }
-    // Computes the limit tag (L) anew from the last step of it, after the limit has changed.
+    // Recomputes the limit tag (L) from its last step, after the limit has changed.
     void update_limit_tag(Route& route, const Destination& destination) const {
         route.limit_tag = route.paced_from + from_seconds(route.paced_by / sender_limit(route, destination));
     }
@@ -287,25 +287,25 @@
     lockgw::DueQueue<MessageId, Time> expiry_queue_, backoff_queue_;
     // By ordering key: when the pause after a doubtful attempt ends, and when an empty queue may be removed.
     lockgw::DueQueue<std::uint64_t, Time> key_pause_queue_, key_cleanup_queue_;
-    lockgw::DueQueue<DestinationId, Time>
-        destination_due_queue_;                          // the next tag, wait or budget that falls due
+    // The next tag, wait or recovery budget of each destination that falls due.
+    lockgw::DueQueue<DestinationId, Time> destination_due_queue_;
     std::map<EndpointId, std::size_t> doubtful_counts_;  // messages that may have run at the endpoint
-    DestinationId shed_scan_cursor_ = 0;                 // where the scan in turn goes on
-    int unhealthy_calls_ = 0,
-        watch_failures_ = 0;  // calls out to unhealthy destinations; failed list calls in a row
+    DestinationId shed_scan_cursor_ = 0;                 // round-robin position (lowest_value_of_sample)
+    // Calls in flight to unhealthy destinations; failed list calls in a row.
+    int unhealthy_calls_ = 0, watch_failures_ = 0;
     std::unordered_map<EndpointId, Endpoint> endpoints_;
     std::unordered_map<MessageId, Message> messages_;
     std::map<std::uint64_t, KeyLine> key_queues_;
-    std::map<std::pair<MessageId, std::uint32_t>, Attempt>
-        attempts_;                          // those out, by message and attempt number
-    std::map<std::uint64_t, Call> calls_;   // those out, by call number
+    // Attempts in flight, by message and attempt number, and calls in flight, by call number.
+    std::map<std::pair<MessageId, std::uint32_t>, Attempt> attempts_;
+    std::map<std::uint64_t, Call> calls_;
     std::vector<Time> quota_tags_;          // by tenant
     std::vector<Time> connect_refused_at_;  // by kind, the latest refused connect
     std::set<EndpointId> freed_endpoints_;  // calls ended there in this batch
-    std::vector<std::set<EndpointId>>
-        route_endpoints_;                      // the endpoints that each route allows, from route 1 on
-    std::set<EndpointId> unlisted_endpoints_;  // no longer listed, and still referred to
-    lockgw::rate_limits::RateLimitTable reported_limits_;        // as told by answers and peers
+    // The endpoints that each route allows, from route 1 on.
+    std::vector<std::set<EndpointId>> route_endpoints_;
+    std::set<EndpointId> unlisted_endpoints_;                    // no longer listed, and still referred to
+    lockgw::rate_limits::RateLimitTable reported_limits_;        // reported by answers and peers
     std::map<DestinationId, EndpointId> endpoint_by_limit_key_;  // endpoints with a route of their own
     Time next_gossip_at_{kLongAgo};
     std::vector<Action> actions_;  // of the decision in progress
--- a/tests/consumer/main.cpp
+++ b/tests/consumer/main.cpp
@@ -9,10 +9,10 @@
     settings.most_held = 100;
     settings.max_attempts = 3;
     settings.kinds.resize(1);
-    ClassSettings notice;
-    notice.aim = std::chrono::seconds(2);
-    notice.deadline = std::chrono::seconds(10);
-    settings.classes.push_back(notice);
+    ClassSettings message_class;
+    message_class.aim = std::chrono::seconds(2);
+    message_class.deadline = std::chrono::seconds(10);
+    settings.classes.push_back(message_class);
 
     Sender sender(settings, 7);            // the seed: same seed, same events, same actions
     Time now = std::chrono::seconds(100);  // the caller's clock; it only advances
--- a/tests/large_fleet_test.cpp
+++ b/tests/large_fleet_test.cpp
@@ -54,9 +54,9 @@
     }
 }
 
-// All senders were told the same time until which a destination is closed: they must not all call it at that
-// time.
-TEST(LargeFleet, SendersDoNotAllReturnAtTheToldTime) {
+// All senders got the same retry-after, with which a destination said until when it is closed: they must not
+// all call it when it ends.
+TEST(LargeFleet, SendersDoNotAllReturnAtTheEndOfARetryAfter) {
     std::size_t at_once = 0;
     for (std::uint64_t seed = 1; seed <= 40; ++seed) {
         SenderHarness harness(fleet_settings(40), seed);
--- a/tests/logic_test.cpp
+++ b/tests/logic_test.cpp
@@ -307,7 +307,7 @@
     EXPECT_EQ(harness.decide_sent_ids(), Ids{2});
 }
 
-TEST(ToldWait, AppliesToTheWholeDestination) {
+TEST(RetryAfter, AppliesToTheWholeDestination) {
     SenderHarness harness;
     harness.list_endpoint(0, 1);
     harness.list_endpoint(1, 1);
@@ -319,7 +319,7 @@
     EXPECT_EQ(harness.advance(ms(300)).size(), 2u);
 }
 
-TEST(ToldWait, AppliesToOneEndpointWithARouteOfItsOwn) {
+TEST(RetryAfter, AppliesToOneEndpointWithARouteOfItsOwn) {
     SenderHarness harness;
     harness.list_endpoint(0, 1, 1);
     harness.list_endpoint(1, 1, 1);
@@ -332,9 +332,9 @@
     EXPECT_NE(next[0].endpoint, out[0].endpoint);
 }
 
-// Found with the standard scenarios: each message of a call may be told a wait of its own, and the longest
+// Found with the standard scenarios: each message of a call may get a retry-after of its own, and the longest
 // applies.
-TEST(ToldWait, LongestWaitOfACallApplies) {
+TEST(RetryAfter, LongestWaitOfACallApplies) {
     SenderHarness harness;
     harness.list_endpoint(0, 1, 2);
     for (MessageId id = 1; id <= 3; ++id) harness.arrive(id, 1);
--- a/tests/property_test.cpp
+++ b/tests/property_test.cpp
@@ -58,7 +58,7 @@
             Condition::Ready, Condition::Ready, Condition::Draining, Condition::Gone}[random_below(4)];
     }
     static DestinationId destination_of(EndpointId id) { return id / 3; }
-    // a told wait applies to the destination, or only to the endpoint for kinds with routes_apart (kind 1)
+    // a retry-after applies to the destination, or only to the endpoint for kinds with routes_apart (kind 1)
     static std::int64_t route_of(EndpointId id) {
         return destination_of(id) == 1 ? 100 + id : destination_of(id);
     }
@@ -103,8 +103,8 @@
         if (event.outcome == Outcome::Served) tracked.ended = true;
         event.terminal = tracked.ended;
         if (event.wait > Time(0))
-            told_waits_[route_of(finished.endpoint)] =
-                std::max(told_waits_[route_of(finished.endpoint)], now_ + event.wait);
+            retry_after_until_[route_of(finished.endpoint)] =
+                std::max(retry_after_until_[route_of(finished.endpoint)], now_ + event.wait);
         const bool may_still_run = event.outcome == Outcome::NoAnswer ||
                                    event.outcome == Outcome::ConnectionLost ||
                                    event.outcome == Outcome::CalledOff;
@@ -122,7 +122,7 @@
         ASSERT_EQ(tracked.in_flight, 0) << "two attempts of a message in flight";
         ASSERT_EQ(destination_of(send.endpoint), tracked.event.destination);
         ASSERT_EQ(conditions_.at(send.endpoint), Condition::Ready) << "not listed as ready";
-        ASSERT_LE(told_waits_[route_of(send.endpoint)], now_) << "sent before the told wait was over";
+        ASSERT_LE(retry_after_until_[route_of(send.endpoint)], now_) << "sent during the retry-after wait";
         if (tracked.doubtful_since) {
             ASSERT_NE(kind.effect, Effect::Fragile);
             if (kind.effect == Effect::Dedup) {
@@ -177,7 +177,7 @@
     std::map<MessageId, TrackedMessage> tracked_;
     std::map<std::uint64_t, std::vector<MessageId>> arrivals_by_key_;
     std::map<std::uint64_t, std::map<MessageId, Time>> key_pauses_;
-    std::map<std::int64_t, Time> told_waits_;
+    std::map<std::int64_t, Time> retry_after_until_;
     std::map<EndpointId, Condition> conditions_;
     std::vector<InFlight> in_flight_;
     std::vector<std::string> trace_;
