--- a/src/policy/state.hpp
+++ b/src/policy/state.hpp
@@ -283,7 +283,7 @@
     Order healthy_order_, unhealthy_idle_order_, unhealthy_busy_order_;
     Time share_tag_offset_{0};  // the share tags of active destinations are stored less this
     std::set<std::pair<std::size_t, DestinationId>> by_held_count_;  // active destinations by messages held
-    std::set<DestinationId> unlisted_destinations_;  // those to which no listed endpoint belongs
+    std::set<DestinationId> unlisted_destinations_;  // those that no endpoint was last listed for
     lockgw::DueQueue<MessageId, Time> expiry_queue_, backoff_queue_;
     // By ordering key: when the pause after a doubtful attempt ends, and when an empty queue may be removed.
     lockgw::DueQueue<std::uint64_t, Time> key_pause_queue_, key_cleanup_queue_;
