--- a/src/discovery/discovery_client.cpp
+++ b/src/discovery/discovery_client.cpp
@@ -15,23 +15,24 @@
 namespace {
 
 // How long the agent may hold back the answer to a poll while it has nothing to tell. Short, because a
-// request that hangs cannot be told from a held one before the hold is over. But each poll is a call, and the
-// calls of many forwarders add up, so the hold grows with their number.
+// request that hangs cannot be distinguished from a held one before the hold is over. But each poll is a
+// call, and the calls of many forwarders add up, so the hold grows with their number.
 constexpr auto kMinHold = 1500ms, kMaxHold = 10'000ms, kHoldPerForwarder = 100ms;
 // The time allowed for the first byte of a full list. It is not held back, but an agent with many requests at
-// once takes a while. The platform regards a change of the agent's data as told 6 s later, so there must be
-// time for several requests that hang one after another.
+// once takes a while. The platform assumes that a forwarder knows a change of the agent's data 6 s later, so
+// there must be time for several requests that hang one after another.
 constexpr PollSchedule::Duration kFullListWait = 1000ms;
 // Average interval between the requests of all forwarders that start together, or were refused together.
 constexpr auto kStartInterval = 20ms, kOverloadInterval = 20ms;
-// The platform regards a change as told whether the agent was polled or not, and new calls must stop within
-// the drain grace of the settings after a drain is told. So a starting forwarder sends its first poll within
-// this share of the grace, however many start together, and a request is overdue well before the grace ends.
+// The platform assumes that a forwarder knows what its agent knows, whether it has polled or not, and new
+// calls to a target must stop within the drain grace of the settings. So a starting forwarder sends its first
+// poll within this share of the grace, however many start together, and a request is overdue well before its
+// end.
 constexpr double kMaxStartDelayShare = 0.6, kMaxOverdueShare = 0.4;
 // However short the grace is; less would cause a storm of calls.
 constexpr PollSchedule::Duration kMinOverdue = 20ms;
-// The platform regards a change as told 6 s later, however many polls the agent has refused in the meantime.
-// There has to be time for three of them.
+// The platform assumes that a forwarder knows a change 6 s later, however many polls the agent has refused in
+// the meantime. There has to be time for three of them.
 constexpr auto kMaxOverloadDelay = 1900ms;
 // With at least this many forwarders the configured list is assumed to be the agent's own at its revision,
 // and only changes are requested: an agent cannot serve a full list to each of them at one moment.
--- a/src/discovery/target_registry.cpp
+++ b/src/discovery/target_registry.cpp
@@ -12,7 +12,7 @@
 
 // How long a destination without targets is still known: its targets are probably being replaced.
 constexpr auto kEmptyDestinationRetention = 10min;
-constexpr std::size_t kMaxNumbers = 100'000;
+constexpr std::size_t kMaxNumbers = 100'000;  // targets with a number, listed or not
 
 }  // namespace
 
--- a/tests/discovery_test.cpp
+++ b/tests/discovery_test.cpp
@@ -10,8 +10,8 @@
 using Kind = rig::ListFault::Kind;
 using CallKind = rig::CallScript::Kind;
 
-// Cause 1 (recorded day r7d78b2): a poll that was never answered delayed the next one by 11.5 s, while what
-// the agent has to tell counts as told after 6 s.
+// Cause 1 (recorded day r7d78b2): a poll that was never answered delayed the next one by 11.5 s, while the
+// platform assumes that a forwarder knows a change after 6 s.
 TEST_F(DiscoveryTest, PollsAgainWhenAPollIsNeverAnswered) {
     directory.put_all({member("s-1", 0), member("s-2", 1)});
     directory.fault({Kind::None});
