--- a/src/program/serve.cpp
+++ b/src/program/serve.cpp
@@ -25,7 +25,7 @@
 
 std::set<std::string> ids_of(const routes::EndpointIndex& members) {
     std::set<std::string> ids;
-    for (const auto& [destination, all] : members.all())
+    for (const auto& [destination, all] : members.by_destination())
         for (const auto& one : all) ids.insert(one.id);
     return ids;
 }
