--- a/src/policy/scheduler.hpp
+++ b/src/policy/scheduler.hpp
@@ -88,7 +88,7 @@
         route.limit_tag_base = std::max(route.limit_tag, now - gap), route.limit_tag_intervals = 1.0;
         route.limit_tag = route.limit_tag_base + gap;
         if (endpoint.weight == 0)
-            spilled(destination, sender_count(), has_unhealthy_endpoint(destination), now);
+            record_spillover(destination, sender_count(), has_unhealthy_endpoint(destination), now);
         if (endpoint.health != Health::Healthy) charge_recovery_budget(endpoint, now);
         const double w = slot_weight(destination);
         const Time tag = destination.share_tag + share_tag_offset_;
--- a/src/policy/state.hpp
+++ b/src/policy/state.hpp
@@ -194,13 +194,13 @@
                                        : sender_count();
             return route.reported_limit / senders_sharing(route) * std::min(learned, fair);
         }
-        if (route.share_factor == 0.0) return route.known;
-        return estimated_capacity(route, destination) / senders_sharing(route) * route.gain;
+        if (route.share_factor == 0.0) return route.known_limit;
+        return estimated_capacity(route, destination) / senders_sharing(route) * route.share_factor;
     }
     // Calls per second from all senders that the destination takes: its known limit, else what it is seen to
     // answer.
     double estimated_capacity(const Route& route, const Destination& destination) const {
-        return route.known_limit > 0 ? route.known
+        return route.known_limit > 0 ? route.known_limit
                                : std::max(kMinCapacityPerS, destination.served_rate * sender_count());
     }
     bool gossips_limits() const { return settings_.notes && settings_.n_instances >= kGossipMinSenders; }
--- a/tests/capture_stories.cmake
+++ b/tests/capture_stories.cmake
@@ -49,7 +49,7 @@
 capture_story(doubt_after_a_restart logic.cpp "if (event.doubt) {" "if (event.doubt && now < Time(0)) {")
 capture_story(unsafe_without_an_answer message_lifecycle.hpp "if (message_class.effect == Effect::Fragile) return kLongAgo;"
     "if (message_class.effect == Effect::Fragile) return kNever;")
-capture_story(limit_learned endpoint_health.hpp "std::max(kLeastGain, before" "std::max(1e6, before")
+capture_story(limit_learned endpoint_health.hpp "kMinLearnedShare, before" "1e6, before")
 capture_story(one_takes_all_slots mclock_tags.hpp "return destination.in_flight == 0 || destination.in_flight + 1 < kMaxDestinationSlotShare * slots;"
     "return slots > 0 || destination.parked;")
 capture_story(order_of_a_key message_lifecycle.hpp "if (queue.open_attempts > 0 || queue.waiting.front() != id) return kNever;" "")
