--- a/src/core/forwarder.cpp
+++ b/src/core/forwarder.cpp
@@ -8,8 +8,8 @@
 
 #include "base/condition.hpp"
 #include "core/admission_limits.hpp"
+#include "core/clocks.hpp"
 #include "core/descriptor_budget.hpp"
-#include "core/descriptors.hpp"
 #include "core/subset_parameters.hpp"
 #include "logging/log.hpp"
 
--- a/src/core/forwarder.hpp
+++ b/src/core/forwarder.hpp
@@ -29,7 +29,7 @@
 #include "containers/recent_set.hpp"
 #include "core/capture_control.hpp"
 #include "core/cluster_membership.hpp"
-#include "core/front.hpp"
+#include "core/delivery.hpp"
 #include "core/frontend.hpp"
 #include "core/maintenance.hpp"
 #include "core/recovery_coordinator.hpp"
