--- a/src/policy/endpoint_health.hpp
+++ b/src/policy/endpoint_health.hpp
@@ -75,7 +75,8 @@
     // An answer that could not be read, or that broke off. The endpoint took the call: that is a sign of an
     // outage only where hardly any other answer comes.
     void record_unreadable(Endpoint& endpoint, Time now) {
-        endpoint.failure_rate += kUnreadableSmoothing * (1.0 - endpoint.failure_rate), endpoint.last_outcome_at = now;
+        endpoint.failure_rate += kUnreadableSmoothing * (1.0 - endpoint.failure_rate),
+            endpoint.last_outcome_at = now;
         if (endpoint.failure_rate <= kOutageFailureShare || endpoint.health != Health::Healthy) return;
         endpoint.failure_seen = true;
         mark_unhealthy(endpoint, now);
@@ -90,8 +91,7 @@
     // also puts the next call off by about 1/l, at random between half and one and a half of that.
     void reduce_limit(Route& route, const Endpoint& endpoint, Time now) {
         const double before = route.share_factor > 0 ? route.share_factor : sender_count();
-        route.share_factor =
-            std::max(
+        route.share_factor = std::max(
             kMinLearnedShare, before * std::pow(sender_count(), kRefusalExponent * ++route.limit_reductions));
         if (endpoint.destination_record->in_flight > 1) return;
         const double jitter = std::uniform_real_distribution<double>(0.5, 1.5)(random_);
@@ -121,9 +121,9 @@
         Endpoint& endpoint = endpoints_.at(id);
         Destination& destination = *endpoint.destination_record;
         Route& route = route_of(endpoint);
-        route.share_factor =
-            std::min(sender_count(),
-            route.share_factor * std::pow(sender_count(), kSuccessExponent + left * kSuccessExponentPerShareLeft));
+        route.share_factor = std::min(sender_count(),
+            route.share_factor *
+                std::pow(sender_count(), kSuccessExponent + left * kSuccessExponentPerShareLeft));
         route.limit_reductions = 0;
         if (rtt > Time(0)) {
             smooth_latency(destination.typical_latency_s, seconds(rtt));
@@ -175,14 +175,14 @@
     void charge_recovery_budget(Endpoint& endpoint, Time now) {
         const std::size_t sharing =
             has_own_route(endpoint) ? 1 : endpoint.destination_record->endpoints.size();
-        const double present =
-            estimated_capacity(route_of(endpoint), *endpoint.destination_record) / std::max<double>(1, sharing);
+        const double present = estimated_capacity(route_of(endpoint), *endpoint.destination_record) /
+                               std::max<double>(1, sharing);
         const Time from = std::max(endpoint.recovery_tag, now);
         // only senders that have called since the outage began know of it; after its end no more learn of it
         if (endpoint.last_success_at <= endpoint.unhealthy_since) {
             const Time outage = from - (endpoint.last_success_at + endpoint.unhealthy_since) / 2;
-            endpoint.aware_share =
-                std::max(kMinAwareShare, 1.0 - std::exp(-endpoint.destination_record->message_rate * seconds(outage)));
+            endpoint.aware_share = std::max(
+                kMinAwareShare, 1.0 - std::exp(-endpoint.destination_record->message_rate * seconds(outage)));
         }
         const double rate = kRecoveryBudgetUse * settings_.fall_multiple * settings_.cold_from * present /
                             (sender_count() * endpoint.aware_share);
@@ -214,13 +214,12 @@
         std::vector<std::pair<EndpointId, double>> waiting;  // no more entries than calls out
         for (const auto& [id, call] : calls_) {
             // only this call is stuck, or the endpoint is known to be unhealthy
-            if (call.overtaken || call.endpoint_record->health != Health::Healthy)
-                continue;
+            if (call.overtaken || call.endpoint_record->health != Health::Healthy) continue;
             auto sum = std::find_if(waiting.begin(), waiting.end(),
                 [&call = call](const auto& entry) { return entry.first == call.endpoint; });
             if (sum == waiting.end()) sum = waiting.insert(sum, {call.endpoint, 0.0});
-            sum->second +=
-                seconds(now - std::max(call.sent_at, call.endpoint_record->last_success_at)) / typical_latency_s(*call.endpoint_record->destination_record);
+            sum->second += seconds(now - std::max(call.sent_at, call.endpoint_record->last_success_at)) /
+                           typical_latency_s(*call.endpoint_record->destination_record);
         }
         std::sort(waiting.begin(), waiting.end());
         for (const auto& [id, sum] : waiting)
--- a/src/policy/load_shedding.hpp
+++ b/src/policy/load_shedding.hpp
@@ -65,7 +65,8 @@
     // Takes the messages at both ends of the destination's queue into account, each at its expected delivery
     // time.
     void consider_queue_ends(ShedCandidate& least, const Destination& destination, Time now) const {
-        const Time start = now + expected_outage(destination, now), gap = interval_of(drain_rate(destination));
+        const Time start = now + expected_outage(destination, now),
+                   gap = interval_of(drain_rate(destination));
         const auto size = static_cast<Time::rep>(destination.held.size());
         auto first = destination.held.begin();
         auto last = destination.held.rbegin();
--- a/src/policy/mclock_tags.hpp
+++ b/src/policy/mclock_tags.hpp
@@ -31,7 +31,7 @@
     void enter_order(DestinationId id, Destination& destination) {
         destination.scheduling_order = !has_unhealthy_endpoint(destination) ? &healthy_order_
                                        : destination.in_flight == 0         ? &unhealthy_idle_order_
-                                                                 : &unhealthy_busy_order_;
+                                                                            : &unhealthy_busy_order_;
         destination.scheduling_order->insert({destination.share_tag, id});
     }
     // Does nothing for a parked destination.
@@ -86,8 +86,9 @@
         return unhealthy_calls_ + 1 <= std::max(1.0, kMaxUnhealthySlotShare * slots);
     }
     int count_unhealthy_calls() const {
-        return static_cast<int>(std::count_if(calls_.begin(), calls_.end(),
-            [this](const auto& entry) { return has_unhealthy_endpoint(*entry.second.endpoint_record->destination_record); }));
+        return static_cast<int>(std::count_if(calls_.begin(), calls_.end(), [this](const auto& entry) {
+            return has_unhealthy_endpoint(*entry.second.endpoint_record->destination_record);
+        }));
     }
     // The earliest time after `now` at which a tag, a wait or a recovery budget of the destination falls due;
     // kNever if none does.
--- a/src/policy/message_lifecycle.hpp
+++ b/src/policy/message_lifecycle.hpp
@@ -46,7 +46,8 @@
         const bool in_backoff = message.open_attempts == 0 && message.not_before > now;
         in_backoff ? backoff_queue_.set(id, message.not_before) : backoff_queue_.erase(id);
         set_ready(id, message,
-            message.open_attempts == 0 && !in_backoff && (!message.key || key_turn_at(id, *message.key) <= now));
+            message.open_attempts == 0 && !in_backoff &&
+                (!message.key || key_turn_at(id, *message.key) <= now));
         reschedule(message.destination, now);
     }
     void set_ready(MessageId id, Message& message, bool is_ready) {
@@ -65,7 +66,8 @@
         const bool paused = queue.paused_until > now;
         const bool unused = queue.waiting.empty() && queue.open_attempts == 0 && paused;
         unused ? key_cleanup_queue_.set(key, queue.paused_until) : key_cleanup_queue_.erase(key);
-        const bool blocked = !queue.waiting.empty() && queue.open_attempts == 0 && paused && queue.pause_exempt != queue.waiting.front();
+        const bool blocked = !queue.waiting.empty() && queue.open_attempts == 0 && paused &&
+                             queue.pause_exempt != queue.waiting.front();
         blocked ? key_pause_queue_.set(key, queue.paused_until) : key_pause_queue_.erase(key);
         if (!queue.waiting.empty()) message_changed(queue.waiting.front(), now);
     }
@@ -100,7 +102,8 @@
     }
     void remove_key_queue_if_idle(std::uint64_t key, Time now) {
         const KeyQueue& queue = key_queues_.at(key);
-        if (queue.waiting.empty() && queue.open_attempts == 0 && queue.paused_until <= now) key_queues_.erase(key);
+        if (queue.waiting.empty() && queue.open_attempts == 0 && queue.paused_until <= now)
+            key_queues_.erase(key);
     }
     // From when on the ordering key allows the message to be sent; kNever while another message of the key
     // goes first.
--- a/src/policy/scheduler.hpp
+++ b/src/policy/scheduler.hpp
@@ -75,7 +75,8 @@
         if (has_unhealthy_endpoint(*endpoint.destination_record)) ++unhealthy_calls_;
         if (const double w = endpoint.weight; w > 0)
             endpoint.virtual_finish =
-                std::max(endpoint.virtual_finish, ++destination.virtual_time - kMaxCallsBehindShare / w) + 1.0 / w;
+                std::max(endpoint.virtual_finish, ++destination.virtual_time - kMaxCallsBehindShare / w) +
+                1.0 / w;
         send_attempt(pick.message, pick.endpoint, call_id, now);
         fill_batch(destination, pick.endpoint, call_id, now);
         advance_tags(pick.destination, destination, endpoint, now);
@@ -265,7 +266,8 @@
             const Destination& destination = *endpoint.destination_record;
             const bool overtaken = nearly_full && call.overtaken;
             const Time timeout = call_timeout(destination, overtaken);
-            if (now - call.sent_at < timeout || !(nearly_full || can_repeat(found->second, call, now))) continue;
+            if (now - call.sent_at < timeout || !(nearly_full || can_repeat(found->second, call, now)))
+                continue;
             const bool answered_others = endpoint.last_success_at > call.sent_at + timeout;
             if (!overtaken && !answered_others && !(scarce && endpoint.health != Health::Healthy)) continue;
             attempt.cancelled = true;
--- a/src/policy/state.hpp
+++ b/src/policy/state.hpp
@@ -201,7 +201,7 @@
     // answer.
     double estimated_capacity(const Route& route, const Destination& destination) const {
         return route.known_limit > 0 ? route.known_limit
-                               : std::max(kMinCapacityPerS, destination.served_rate * sender_count());
+                                     : std::max(kMinCapacityPerS, destination.served_rate * sender_count());
     }
     bool gossips_limits() const { return settings_.notes && settings_.n_instances >= kGossipMinSenders; }
     // Recomputes the limit tag (L) from its last step, after the limit has changed.
