--- a/src/core/maintenance.hpp
+++ b/src/core/maintenance.hpp
@@ -38,7 +38,7 @@
     bool enabled() const { return coordinator_.has_value(); }
     /// Returns whether this forwarder has to be out of service.
     bool out_of_service() const { return coordinator_ && coordinator_->away(); }
-    /// Returns whether no new call may go to the target. `known_as`: its spread::known_as().
+    /// Returns whether no new call may go to the target. `known_as`: its subsetting::gossip_id().
     bool is_target_out(std::uint64_t known_as) const {
         return coordinator_ && coordinator_->targets_out().contains(known_as);
     }
--- a/src/policy/endpoint_health.hpp
+++ b/src/policy/endpoint_health.hpp
@@ -81,8 +81,8 @@
         endpoint.failure_seen = true;
         mark_unhealthy(endpoint, now);
     }
-    // The weight of the newest outcome in the share of failures (Endpoint::failing): higher the older the one
-    // before is.
+    // The weight of the newest outcome in the share of failures (Endpoint::failure_rate): higher the older
+    // the one before is.
     double failure_weight(Endpoint& endpoint, Time now) {
         const double age = seconds(now - std::exchange(endpoint.last_outcome_at, now));
         return std::max(kFailureSmoothing, 1.0 - std::exp(-age / kFailureMemory_s));
@@ -166,8 +166,8 @@
             endpoint.health = Health::Healthy;
         if (endpoint.health == Health::Healthy) endpoint.failure_seen = false;
     }
-    // Takes one call out of the recovery budget of an endpoint, by moving its cold_tag: the next call may go
-    // from then on. The budget is this sender's part of fall_multiple x present capacity. The capacity rises
+    // Takes one call out of the recovery budget of an endpoint, by moving its recovery_tag: the next call may
+    // go from then on. The budget is this sender's part of fall_multiple x present capacity, which rises
     // evenly from cold_from to all of it within warm_within after the return; the return is taken to be no
     // earlier than the first success or the end of a long retry-after wait, since a trial before that may
     // meet the endpoint with its least capacity. The gap is randomized, so that senders that saw the same
--- a/src/policy/scheduler.hpp
+++ b/src/policy/scheduler.hpp
@@ -136,7 +136,7 @@
         const Time backlog = backlog_delay(destination);
         std::optional<Pick> best;
         double highest_loss = 0.0;
-        // fragile classes of which no available endpoint may have a message
+        // fragile classes that no available endpoint may take
         std::set<std::size_t> blocked;
         const auto consider = [&](MessageId message_id) {
             const Message& message = messages_.at(message_id);
--- a/src/policy/state.hpp
+++ b/src/policy/state.hpp
@@ -37,7 +37,7 @@
 // ---- rate limits ----
 
 // This sender's part of a shared rate limit (l) is learned from refusals and successes. It lies between an
-// even part (the limit divided by the number of senders) and the whole limit. The steps are powers of n, the
+// even share (the limit divided by the number of senders) and the whole limit. The steps are powers of n, the
 // number of senders: the more senders there are, the more rarely each gets an answer and the further off its
 // part may be.
 constexpr double kRefusalExponent =
@@ -45,7 +45,7 @@
 constexpr double kSuccessExponent = 1.0 / 24.0;  // eight successes make up for the first refusal
 // Added, times the reported share of the limit that is left.
 constexpr double kSuccessExponentPerShareLeft = 0.3;
-constexpr double kMinLearnedShare = 0.5;  // half an even part is always free while the others keep to theirs
+constexpr double kMinLearnedShare = 0.5;  // half an even share is always free while the others keep to theirs
 
 // In a large fleet a sender calls an endpoint too rarely to know its limit from its own answers alone:
 // senders tell one another of the limits that answers report.
@@ -84,7 +84,7 @@
 
 // ---- recovery of endpoints ----
 
-// The part of the recovery budget that is used. (Known limits lie below the capacity.)
+// Share of the recovery budget that is used. Known limits stand for the capacity, which lies above them.
 constexpr double kRecoveryBudgetUse = 0.9;
 constexpr double kMinCapacityPerS = 2.0;  // calls per second that any destination is assumed to sustain
 // Time constant of the average arrival rate, and the least share of the senders that is assumed to know of an
@@ -98,9 +98,9 @@
 
 // ---- timeouts, retries and cancelled calls ----
 
-constexpr double kCallTimeoutLatencies = 8.0;      // timeout in typical latencies, where a repeat is allowed;
-constexpr Time kMinCallTimeout{1'000'000};         // at least this or, where it is shorter,
-constexpr double kMinCallTimeoutLatencies = 12.0;  // so many typical latencies of all destinations
+constexpr double kCallTimeoutLatencies = 8.0;      // Timeout in typical latencies, where a repeat is allowed.
+constexpr Time kMinCallTimeout{1'000'000};         // Least timeout, unless the next constant gives less.
+constexpr double kMinCallTimeoutLatencies = 12.0;  // Least timeout in typical latencies of all destinations.
 constexpr double kTrialGapLatencies = 2.5;         // kUnhealthyTrialGap is shortened in the same way
 constexpr Time kMinScaledSpan{50'000};             // no span is shortened below this
 // In place of kMinCallTimeout where later calls were answered first.
@@ -181,7 +181,7 @@
     Route& route_of(Endpoint& endpoint) {
         return has_own_route(endpoint) ? endpoint.own_route : endpoint.destination_record->shared_route;
     }
-    // This sender's rate limit in calls per second (l): an even part of the shared limit times the learned
+    // This sender's rate limit in calls per second (l): an even share of the shared limit times the learned
     // factor. Without a known limit it is unbounded (0) until the first refusal; from then on the rate at
     // which the destination is seen to answer takes the place of the limit. Where an answer reported how much
     // of the limit is left, fair_share() bounds the learned factor.
--- a/src/rate_limits/fair_share.hpp
+++ b/src/rate_limits/fair_share.hpp
@@ -12,8 +12,8 @@
 
 constexpr double kMinShare = 0.85;            // if nothing remains: refused calls count against the limit too
 constexpr double kSlopeWithBacklog = 0.25;    // added per share remaining; small because reports arrive late
-constexpr double kSlopeWithoutBacklog = 4.0;  // without a backlog,
-constexpr double kSlopeWithSharedReports = 2.0;  // and the same if all senders receive the same reports
+constexpr double kSlopeWithoutBacklog = 4.0;  // added per share remaining without a backlog
+constexpr double kSlopeWithSharedReports = 2.0;  // in its place if all senders receive the same reports
 constexpr double kAmpleRemaining = 0.7;  // above this remaining share the limit is far away: adds kAmpleSlope
 constexpr double kAmpleSlope = 1.5;
 constexpr std::size_t kMinBacklog = 2;  // messages queued here that count as a backlog
--- a/src/records/records.hpp
+++ b/src/records/records.hpp
@@ -20,7 +20,7 @@
 
 using SchedulingOrder = std::set<std::pair<Time, DestinationId>>;  // by share tag
 
-enum class Health { Healthy, Unhealthy, Recovering };
+enum class Health { Healthy, Unhealthy, Recovering };  // Recovering: also while a long Retry-After lasts
 
 // Rate limit and waits: one record for all endpoints of a destination, or one for each endpoint if the
 // endpoint's kind has KindSettings::routes_apart.
@@ -61,7 +61,7 @@
     Time unhealthy_since{kLongAgo};
     double aware_share = 1.0;     // share of the senders that know of the outage
     Time recovery_start{0};       // first success after an outage, or the end of its Retry-After
-    Time recovery_tag{kLongAgo};  // limit tag while it is not healthy: the fall-back budget
+    Time recovery_tag{kLongAgo};  // limit tag while it is not healthy: the recovery budget
     double weight = 0.0;          // assigned share of this sender's calls; 0: outside the subset
     double virtual_finish = 0.0;  // when its share is used up, on Destination::virtual_time's scale
     std::uint64_t known_as = 0;   // ListEntry::known_as
--- a/tests/reported_limit_test.cpp
+++ b/tests/reported_limit_test.cpp
@@ -47,7 +47,7 @@
     MessageId last_id = 0;
 };
 
-// An even part is one call in 2 s. A hundred senders with backlogs stay below the limit together, whatever
+// An even share is one call in 2 s. A hundred senders with backlogs stay below the limit together, whatever
 // share of it is reported as left, for that report is out of date by the next call.
 TEST_F(ReportedLimit, BacklogIsSentAtAnEvenPart) {
     exchange(0.0);
@@ -61,7 +61,7 @@
     EXPECT_LE(sent_count, 11);
     EXPECT_GE(sent_count, 9);
 }
-// Without a backlog a message need not wait for this sender's even part while enough of the limit is left.
+// Without a backlog a message need not wait for this sender's even share while enough of the limit is left.
 TEST_F(ReportedLimit, SingleMessageIsSentSoonWhenMuchIsLeft) {
     exchange(1.0);
     harness.now += ms(500);
@@ -76,7 +76,7 @@
     EXPECT_TRUE(harness.decide_sends().empty());
     EXPECT_EQ(harness.advance(ms(2500)).size(), 1u);
 }
-// A single refusal is enough: the sender does not go on at many times an even part until it learns more.
+// A single refusal is enough: the sender does not go on at many times an even share until it learns more.
 TEST_F(ReportedLimit, OneRefusalSetsTheRate) {
     harness.arrive(++last_id, 1);
     const auto first = harness.decide_sends();
